--- a/wickstep/megaco/__init__.py
+++ b/wickstep/megaco/__init__.py
@@ -1,6 +1,6 @@
-"""Text command speakers: callers and setup servers that speak H.248 in its text encoding.
+"""H.248 (MEGACO) in its text encoding, for callers and setup servers that do not speak the binary protocol.
 
-What they say becomes the same message objects as on the binary wire and goes through the same stages;
-nothing here chooses a server, tries again or refuses a call by itself. `text`, `messages`, `transactions`
-and `association` are pure: no socket, no file, no clock of their own.
+What a peer sends is to become the same message objects as on the binary protocol and to pass through the same
+stages; this package must never select a server, retry or refuse a call by itself. Its modules use no socket,
+no file and no clock of their own.
 """
--- a/wickstep/megaco/frames.py
+++ b/wickstep/megaco/frames.py
@@ -1,7 +1,7 @@
-"""Messages of H.248 on TCP: the packets of RFC 1006 (TPKT), as H.248.1 Annex D.2 has them.
+"""Framing of H.248 messages on TCP: TPKT packets (RFC 1006), as required by H.248.1 Annex D.2.
 
-This file owns where one message ends and the next begins. It must never hold more of one peer's than a
-message.
+This file owns the boundaries between messages in a byte stream. It must never buffer more than one message of
+a peer.
 """
 
 from __future__ import annotations
@@ -11,35 +11,36 @@
 
 from wickstep.megaco.text import Malformed
 
-HEAD = struct.Struct(">BBH")  # version 3, reserved, the length with these four
-MOST = 48 * 1024  # a description of 16 KiB, every octet escaped, and room for the rest
+TPKT_HEADER = struct.Struct(">BBH")  # version 3, reserved, packet length including this header
+MAX_PACKET_BYTES = 48 * 1024  # a description of 16 KiB with every octet escaped, and room for the rest
 
 
-def wrap(message: bytes) -> bytes:
-    size = HEAD.size + len(message)
-    if size > MOST:
-        raise ValueError(f"a message of {size} bytes")
-    return HEAD.pack(3, 0, size) + message
+def encode_packet(message: bytes) -> bytes:
+    """Prepends the TPKT header; raises ValueError if the message is too long."""
+    size = TPKT_HEADER.size + len(message)
+    if size > MAX_PACKET_BYTES:
+        raise ValueError(f"TPKT packet of {size} bytes exceeds the maximum length")
+    return TPKT_HEADER.pack(3, 0, size) + message
 
 
-class Frames:
-    """Cuts one connection's bytes into messages."""
+class PacketDecoder:
+    """Splits the byte stream of one connection into messages."""
 
     def __init__(self) -> None:
-        self._rest = bytearray()
+        self._buffer = bytearray()
 
-    def begun(self) -> bool:
-        return bool(self._rest)
+    def has_partial_message(self) -> bool:
+        return bool(self._buffer)
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """The messages that are whole now; raises Malformed where no packet begins."""
-        self._rest += data
-        while len(self._rest) >= HEAD.size:
-            version, _, size = HEAD.unpack_from(self._rest)
-            if version != 3 or not HEAD.size < size <= MOST:
-                raise Malformed(f"no packet: version {version}, {size} bytes")
-            if len(self._rest) < size:
+        """Yields the messages that are complete; raises Malformed on an invalid packet header."""
+        self._buffer += data
+        while len(self._buffer) >= TPKT_HEADER.size:
+            version, _, size = TPKT_HEADER.unpack_from(self._buffer)
+            if version != 3 or not TPKT_HEADER.size < size <= MAX_PACKET_BYTES:
+                raise Malformed(f"invalid TPKT header: version {version}, packet length {size} bytes")
+            if len(self._buffer) < size:
                 return
-            message = bytes(self._rest[HEAD.size : size])
-            del self._rest[:size]
+            message = bytes(self._buffer[TPKT_HEADER.size : size])
+            del self._buffer[:size]
             yield message
--- a/wickstep/megaco/transactions.py
+++ b/wickstep/megaco/transactions.py
@@ -1,14 +1,14 @@
-"""Transactions of H.248: each request is carried out once, however often it comes.
+"""Transactions of H.248: at-most-once execution of requests.
 
-This file owns what is remembered of requests that came (`Memory`), the order in which the commands of one
-request are carried out (`Run`), and what waits for a reply from the other side (`Outgoing`). It must never
-touch a socket or a clock: times are handed in, in microseconds.
+This file owns the cache of requests received and their replies (`DuplicateRequestCache`), the order in which
+the commands of one request are executed (`RequestExecution`), and the requests sent that await a reply
+(`OutstandingRequests`). It must never touch a socket or a clock: times are passed in, in microseconds.
 
-A request is known by its sender's identifier and its number for `AGE` after its reply; the standard's LONG-
-TIMER is 30 s. While it is carried out, a second copy brings a pending reply, after that the very bytes of
-the reply. The same number with another content is an error of the sender's and is not carried out. Memory
-is bounded by number and by bytes: a sender that fills it is told that there is no room, since forgetting
-what is younger than the age would carry it out again.
+A request is identified by its sender's identifier and its transaction ID for `LONG_TIMER_US` after its reply;
+the standard's LONG-TIMER is 30 s. A duplicate is answered by a pending reply while the request is executed,
+and by the very bytes of the reply afterwards. The same ID with other content is an error of the sender and is
+not executed. The cache is bounded in entries and in bytes. A sender that fills it is refused new requests:
+dropping an entry before its retention time ends would let a duplicate be executed again.
 """
 
 from __future__ import annotations
@@ -18,216 +18,235 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from wickstep.megaco.messages import Action, Command, Fault, Reply, Request
+from wickstep.megaco.messages import Action, Command, ErrorDescriptor, TransactionReply, TransactionRequest
 
-SECOND = 1_000_000
-AGE = 30 * SECOND
-GENERATIONS = 4  # the memory is dropped in so many pieces
-REMEMBERED_MOST = 100_000
-BYTES_MOST = 16 * 1024 * 1024  # of replies
-DIGEST = 8
-SENDERS_MOST = 4096
+SECOND_US = 1_000_000
+LONG_TIMER_US = 30 * SECOND_US
+GENERATIONS = 4  # entries expire together with their generation
+MAX_ENTRIES = 100_000
+MAX_REPLY_BYTES = 16 * 1024 * 1024  # of all cached replies
+DIGEST_BYTES = 8
+MAX_SENDERS = 4096
 
 
-class Known(Enum):
-    """What is known of a request that comes."""
+class RequestStatus(Enum):
+    """What the cache knows of a request that is received."""
 
     NEW = "new"
     RUNNING = "running"
     DONE = "done"
-    ANOTHER = "another"  # the same number, another content
-    NO_ROOM = "no room"
+    CONFLICT = "another"  # the same transaction ID with other content
+    CACHE_FULL = "no room"
 
 
 def digest(data: bytes) -> bytes:
-    return hashlib.blake2b(data, digest_size=DIGEST).digest()
+    return hashlib.blake2b(data, digest_size=DIGEST_BYTES).digest()
 
 
-class Memory:
-    """What requests have come, and what they were answered.
+class DuplicateRequestCache:
+    """The requests that have been received, and the replies to them.
 
-    Replies are kept in generations, each a dict that covers a part of the age. A look-up tries them from
-    the newest; what is too old goes with its whole generation, in one step, where a queue of single entries
-    costs as much for forgetting as for remembering. A request that runs stays until it is answered, however
+    Replies are kept in generations: dicts that each cover a part of the retention time. A look-up searches
+    them from the newest. Expired entries are dropped with their whole generation in one step; in a queue of
+    single entries, dropping costs as much as adding. A running request stays until it is answered, however
     long that takes: calls have deadlines.
     """
 
-    def __init__(self, age: int = AGE, most: int = REMEMBERED_MOST, bytes_most: int = BYTES_MOST) -> None:
-        self.span = max(age // (GENERATIONS - 1), 1)  # so the youngest dropped is of the whole age
-        self.most, self.bytes_most = most, bytes_most
-        self.senders: dict[str, int] = {}
-        self.serial = 0
+    def __init__(
+        self,
+        retention_us: int = LONG_TIMER_US,
+        max_entries: int = MAX_ENTRIES,
+        max_reply_bytes: int = MAX_REPLY_BYTES,
+    ) -> None:
+        # All generations but the newest cover the retention time, so that no entry is dropped before its end.
+        self.generation_us = max(retention_us // (GENERATIONS - 1), 1)
+        self.max_entries, self.max_reply_bytes = max_entries, max_reply_bytes
+        self.sender_numbers: dict[str, int] = {}
+        self.last_sender_number = 0
         self.running: dict[int, bytes] = {}  # key -> digest of the content
-        self.done: list[dict[int, bytes]] = [{}]  # the newest first: key -> digest and reply
-        self.sizes: list[int] = [0]  # bytes of replies in each
-        self.began = 0  # of the newest
+        self.generations: list[dict[int, bytes]] = [{}]  # newest first: key -> digest and reply
+        self.generation_bytes: list[int] = [0]  # bytes of the replies in each generation
+        self.newest_start = 0  # time at which the newest generation began
 
     def __len__(self) -> int:
-        return len(self.running) + sum(map(len, self.done))
-
-    def comes(self, sender: str, ident: int, content: bytes, now: int) -> tuple[Known, bytes]:
-        """A request comes: what is known of it, and the reply if there is one. A new one runs from here
-        on."""
-        self._age(now)
-        number = self._sender(sender)
-        if number is None:
-            return Known.NO_ROOM, b""
-        key = number << 32 | ident
-        known = self.running.get(key)
-        if known is not None:
-            return (Known.RUNNING if known == content else Known.ANOTHER), b""
-        for generation in self.done:
-            kept = generation.get(key)
-            if kept is not None:
-                return (Known.DONE, kept[DIGEST:]) if kept[:DIGEST] == content else (Known.ANOTHER, b"")
-        if len(self) >= self.most or sum(self.sizes) >= self.bytes_most:
-            return Known.NO_ROOM, b""
-        self.running[key] = content
-        return Known.NEW, b""
-
-    def answered(self, sender: str, ident: int, reply: bytes, now: int) -> None:
-        """A request has run; from now on its copies bring this."""
-        self._age(now)
-        key = self.senders.get(sender, 0) << 32 | ident
-        content = self.running.pop(key, None)
-        if content is not None:
-            self.done[0][key] = content + reply
-            self.sizes[0] += len(reply)
-
-    def acknowledged(self, sender: str, ranges: list[tuple[int, int]]) -> None:
-        """The sender has these replies and will not ask again: they need not be kept.
-
-        A range may span all numbers there are: then what is kept is gone through instead.
+        return len(self.running) + sum(map(len, self.generations))
+
+    def register(
+        self, sender: str, transaction_id: int, content_digest: bytes, now: int
+    ) -> tuple[RequestStatus, bytes]:
+        """The status of a received request, and the reply if it is DONE. A NEW one is RUNNING from now on."""
+        self._expire_generations(now)
+        sender_number = self._get_sender_number(sender)
+        if sender_number is None:
+            return RequestStatus.CACHE_FULL, b""
+        key = sender_number << 32 | transaction_id
+        running_digest = self.running.get(key)
+        if running_digest is not None:
+            return (
+                RequestStatus.RUNNING if running_digest == content_digest else RequestStatus.CONFLICT
+            ), b""
+        for generation in self.generations:
+            entry = generation.get(key)
+            if entry is not None:
+                return (
+                    (RequestStatus.DONE, entry[DIGEST_BYTES:])
+                    if entry[:DIGEST_BYTES] == content_digest
+                    else (RequestStatus.CONFLICT, b"")
+                )
+        if len(self) >= self.max_entries or sum(self.generation_bytes) >= self.max_reply_bytes:
+            return RequestStatus.CACHE_FULL, b""
+        self.running[key] = content_digest
+        return RequestStatus.NEW, b""
+
+    def store_reply(self, sender: str, transaction_id: int, reply: bytes, now: int) -> None:
+        """Ends a running request; its duplicates are answered by this reply from now on."""
+        self._expire_generations(now)
+        key = self.sender_numbers.get(sender, 0) << 32 | transaction_id
+        content_digest = self.running.pop(key, None)
+        if content_digest is not None:
+            self.generations[0][key] = content_digest + reply
+            self.generation_bytes[0] += len(reply)
+
+    def drop_acknowledged(self, sender: str, ranges: list[tuple[int, int]]) -> None:
+        """Drops replies that the sender has acknowledged: it will not repeat those requests.
+
+        A range may span all transaction IDs. If it is larger than the cache, the cache is searched instead.
         """
-        number = self.senders.get(sender)
-        if number is None:
+        sender_number = self.sender_numbers.get(sender)
+        if sender_number is None:
             return
         for low, high in ranges:
             if high - low <= len(self):
-                keys = [number << 32 | ident for ident in range(low, high + 1)]
+                keys = [sender_number << 32 | transaction_id for transaction_id in range(low, high + 1)]
             else:
                 keys = [
                     key
-                    for generation in self.done
+                    for generation in self.generations
                     for key in generation
-                    if key >> 32 == number and low <= key & 0xFFFFFFFF <= high
+                    if key >> 32 == sender_number and low <= key & 0xFFFFFFFF <= high
                 ]
             for key in keys:
-                for place, generation in enumerate(self.done):
-                    kept = generation.pop(key, None)
-                    if kept is not None:
-                        self.sizes[place] -= len(kept) - DIGEST
-
-    def _sender(self, sender: str) -> int | None:
-        number = self.senders.get(sender)
-        if number is None:
-            if len(self.senders) >= SENDERS_MOST:
-                self._forget_senders()
-            if len(self.senders) >= SENDERS_MOST:
+                for index, generation in enumerate(self.generations):
+                    entry = generation.pop(key, None)
+                    if entry is not None:
+                        self.generation_bytes[index] -= len(entry) - DIGEST_BYTES
+
+    def _get_sender_number(self, sender: str) -> int | None:
+        """The number of a sender, assigned on first use; None if there are too many senders."""
+        sender_number = self.sender_numbers.get(sender)
+        if sender_number is None:
+            if len(self.sender_numbers) >= MAX_SENDERS:
+                self._drop_idle_senders()
+            if len(self.sender_numbers) >= MAX_SENDERS:
                 return None
-            self.serial += 1  # never used again: a sender that is forgotten and comes back is another
-            number = self.senders[sender] = self.serial
-        return number
-
-    def _forget_senders(self) -> None:
-        """Those of whom nothing is remembered."""
-        known = {key >> 32 for generation in [self.running, *self.done] for key in generation}
-        self.senders = {sender: number for sender, number in self.senders.items() if number in known}
-
-    def _age(self, now: int) -> None:
-        if now - self.began < self.span:
+            # Numbers are never reused: a sender that was dropped and returns gets a new one.
+            self.last_sender_number += 1
+            sender_number = self.sender_numbers[sender] = self.last_sender_number
+        return sender_number
+
+    def _drop_idle_senders(self) -> None:
+        """Drops the senders that have no request in the cache."""
+        used_numbers = {key >> 32 for generation in [self.running, *self.generations] for key in generation}
+        self.sender_numbers = {
+            sender: number for sender, number in self.sender_numbers.items() if number in used_numbers
+        }
+
+    def _expire_generations(self, now: int) -> None:
+        if now - self.newest_start < self.generation_us:
             return
-        # After a long silence all of it is too old at once.
-        for _ in range(min((now - self.began) // self.span, GENERATIONS)):
-            self.done.insert(0, {})
-            self.sizes.insert(0, 0)
-        del self.done[GENERATIONS:], self.sizes[GENERATIONS:]
-        self.began = now - (now - self.began) % self.span
+        # After a long time without requests, all generations expire at once.
+        for _ in range(min((now - self.newest_start) // self.generation_us, GENERATIONS)):
+            self.generations.insert(0, {})
+            self.generation_bytes.insert(0, 0)
+        del self.generations[GENERATIONS:], self.generation_bytes[GENERATIONS:]
+        self.newest_start = now - (now - self.newest_start) % self.generation_us
 
 
 @dataclass(slots=True)
 class Step:
-    """A command that is to be carried out now."""
+    """The command to execute now, with its action."""
 
     action: Action
     command: Command
 
 
-class Run:
-    """One request under way: its commands in order, and the reply that they fill.
+class RequestExecution:
+    """One request being executed: its commands in order, and the reply that their results fill.
 
-    As the standard has it, commands are carried out one after the other, and the first that fails ends the
-    request unless it is optional: what comes after it is not carried out and has no place in the reply.
+    As the standard requires, commands are executed one after the other. The first that fails ends the request
+    unless it is optional: later commands are not executed and have no place in the reply.
     """
 
-    def __init__(self, sender: str, request: Request) -> None:
+    def __init__(self, sender: str, request: TransactionRequest) -> None:
         self.sender, self.request = sender, request
-        self.reply = Reply(request.ident)
-        self.over = False
-        self._steps = self._each()
-        self._answers: Action | None = None  # whose commands the last action of the reply answers
+        self.reply = TransactionReply(request.transaction_id)
+        self.finished = False
+        self._steps = self._iterate_steps()
+        self._answered_action: Action | None = None  # the action that the last action of the reply answers
         self.step: Step | None = None
-        self.contexts: dict[int, str] = {}  # id of an action -> the context that was chosen for it
+        self.chosen_contexts: dict[int, str] = {}  # id() of an action -> the context chosen for it
 
-    def _each(self) -> Iterator[Step]:
+    def _iterate_steps(self) -> Iterator[Step]:
         for action in self.request.actions:
             for command in action.commands:
                 yield Step(action, command)
 
-    def next(self) -> Step | None:
-        """The command to carry out, or None when the reply is whole."""
-        self.step = None if self.over else next(self._steps, None)
-        self.over = self.step is None
+    def next_step(self) -> Step | None:
+        """Advances to the next command; None when the reply is complete."""
+        self.step = None if self.finished else next(self._steps, None)
+        self.finished = self.step is None
         return self.step
 
-    def context(self) -> str:
-        """Of the present step: the one that an earlier command of its action was given, where it was to be
-        chosen."""
+    def current_context(self) -> str:
+        """The context of the current command.
+
+        If the action asked for a context to be chosen, it is the one that an earlier command was given.
+        """
         assert self.step is not None
-        return self.contexts.get(id(self.step.action), self.step.action.context)
+        return self.chosen_contexts.get(id(self.step.action), self.step.action.context)
 
-    def done(self, result: Command | Fault, context: str = "") -> None:
-        """What became of the present step, in the context it has been given."""
+    def record_result(self, result: Command | ErrorDescriptor, context: str = "") -> None:
+        """Adds the result of the current command, and the context chosen for it if any, to the reply."""
         step = self.step
         assert step is not None
         if context:
-            self.contexts[id(step.action)] = context
-        shown = context or self.context()
-        if not self.reply.actions or self._answers is not step.action:
-            self.reply.actions.append(Action(shown))
-            self._answers = step.action
-        answer = self.reply.actions[-1]
-        answer.context = shown
-        if isinstance(result, Fault):
-            result = Command(step.command.kind, step.command.termination, fault=result)
-        answer.commands.append(result)
-        if result.fault is not None and not step.command.optional:
-            self.over = True
+            self.chosen_contexts[id(step.action)] = context
+        reply_context = context or self.current_context()
+        if not self.reply.actions or self._answered_action is not step.action:
+            self.reply.actions.append(Action(reply_context))
+            self._answered_action = step.action
+        reply_action = self.reply.actions[-1]
+        reply_action.context = reply_context
+        if isinstance(result, ErrorDescriptor):
+            result = Command(step.command.kind, step.command.termination, error=result)
+        reply_action.commands.append(result)
+        if result.error is not None and not step.command.optional:
+            self.finished = True
 
 
 @dataclass(slots=True)
-class Outgoing:
-    """What was sent on one association and waits for its reply: a number, and what it was about."""
+class OutstandingRequests:
+    """Requests sent on one association that await a reply: transaction ID -> subject of the request."""
 
-    most: int
-    serial: int = 0
-    out: dict[int, object] = field(default_factory=dict)
+    max_outstanding: int
+    last_id: int = 0
+    in_flight: dict[int, object] = field(default_factory=dict)
 
-    def put(self, about: object) -> int | None:
-        """A number for a new request; None where too many wait."""
-        if len(self.out) >= self.most:
+    def add(self, subject: object) -> int | None:
+        """A transaction ID for a new request; None if too many requests are in flight."""
+        if len(self.in_flight) >= self.max_outstanding:
             return None
         while True:
-            self.serial = self.serial % 0xFFFFFFFF + 1
-            if self.serial not in self.out:
+            self.last_id = self.last_id % 0xFFFFFFFF + 1
+            if self.last_id not in self.in_flight:
                 break
-        self.out[self.serial] = about
-        return self.serial
+        self.in_flight[self.last_id] = subject
+        return self.last_id
 
-    def about(self, ident: int) -> object | None:
-        """What a pending reply is about; it stays out."""
-        return self.out.get(ident)
+    def get(self, transaction_id: int) -> object | None:
+        """The subject of a request that got a pending reply; it stays in flight."""
+        return self.in_flight.get(transaction_id)
 
-    def answered(self, ident: int) -> object | None:
-        """What a reply is about. A second copy of it, or a late one, is about nothing."""
-        return self.out.pop(ident, None)
+    def complete(self, transaction_id: int) -> object | None:
+        """The subject of a request that got its reply; None for a duplicate or late reply."""
+        return self.in_flight.pop(transaction_id, None)
