--- a/benchmarks/calls.py
+++ b/benchmarks/calls.py
@@ -22,7 +22,7 @@
 import click
 
 from wickstep.recovery import records
-from wickstep.recovery.journal import BATCH, NEVER, SYNCS, TURN, Journal, replay
+from wickstep.recovery.journal import SYNC_BATCH, SYNC_MODES, SYNC_NEVER, SYNC_TURN, Journal, replay
 from wickstep.rehearsal import run, scenario
 from wickstep.rehearsal.trace import What
 
@@ -45,11 +45,11 @@
     journal.open(0)
     began = time.perf_counter()
     for call in range(1, calls + 1):
-        journal.taken(call)
-        journal.sent(call, 0, f"s-{call % 24:08x}", 0)
-        journal.stands(call)
-        journal.ended(call - STANDING)
-        journal.turn(call)
+        journal.call_taken(call)
+        journal.attempt_sent(call, 0, f"s-{call % 24:08x}", 0)
+        journal.call_stands(call)
+        journal.call_ended(call - STANDING)
+        journal.end_turn(call)
     took = time.perf_counter() - began
     journal.close()
     return 1e6 * took / calls, sum(path.stat().st_size for path in folder.iterdir())
@@ -94,18 +94,18 @@
 
 def replay_time(live: int) -> tuple[float, int]:
     """Seconds to read a segment that begins with so many standing calls, and its bytes."""
-    parts = [records.head("n1", 1), records.written(records.Record(records.Kind.SERVER, host="s-1"))]
+    parts = [records.encode_head("n1", 1), records.encode(records.Record(records.Kind.SERVER, host="s-1"))]
     for call in range(1, live + 1):
-        parts.append(records.written(records.Record(records.Kind.SENT, call, 0, 0, 1)))
-        parts.append(records.written(records.Record(records.Kind.STANDS, call)))
-    parts.append(records.written(records.Record(records.Kind.LIVE)))
+        parts.append(records.encode(records.Record(records.Kind.SENT, call, 0, 0, 1)))
+        parts.append(records.encode(records.Record(records.Kind.STANDS, call)))
+    parts.append(records.encode(records.Record(records.Kind.LIVE)))
     raw = b"".join(parts)
 
     def timed(folder: Path) -> tuple[float, int]:
         (folder / "calls-000000000000000001").write_bytes(raw)
         began = time.perf_counter()
         found = replay(folder, "n1", 1 << 30)
-        assert found.used == 2 * live + 2
+        assert found.record_count == 2 * live + 2
         return time.perf_counter() - began, len(raw)
 
     return in_folder(timed)
@@ -204,9 +204,9 @@
         last = f"{len(times)} journals settled, the last after {max(times):.1f} s; " if times else ""
         served = " ".join(f"{100 * share:.0f}" for share in shares)
         click.echo(f"{fleet} softswitches, state {state}: {last}% in time by second {served}; {rules}")
-    assert SYNCS == (NEVER, BATCH, TURN)
-    for sync in SYNCS:
-        count = calls if sync != TURN else calls // 20
+    assert SYNC_MODES == (SYNC_NEVER, SYNC_BATCH, SYNC_TURN)
+    for sync in SYNC_MODES:
+        count = calls if sync != SYNC_TURN else calls // 20
         cost, size = in_folder(lambda folder, s=sync, n=count: journal_cost(folder, s, n))  # type: ignore[misc]
         click.echo(f"journal, sync {sync:10}: {cost:7.1f} us a call, {size} bytes")
     cost, size = in_folder(lambda folder: sqlite_cost(folder, calls))
--- a/benchmarks/stores.py
+++ b/benchmarks/stores.py
@@ -27,12 +27,12 @@
 import ujson
 
 from wickstep.recovery import envelope
-from wickstep.recovery.learned import Learned, Record, written
+from wickstep.recovery.learned import LearnedState, ServerRecord, encode
 
 ROOT = Path(__file__).parent.parent
 ROUNDS, KILLS = 200, 20
-RECORD = written(
-    Learned(0, 0.1, tuple(Record(f"s-{n:08x}", 0, 0.5, 0.9, 7.5, 4e6, 0, 0, 0) for n in range(24)))
+RECORD = encode(
+    LearnedState(0, 0.1, tuple(ServerRecord(f"s-{n:08x}", 0, 0.5, 0.9, 7.5, 4e6, 0, 0, 0) for n in range(24)))
 )
 Write = Callable[[dict[str, Any]], None]
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -2,10 +2,10 @@
 
 import pytest
 
-from wickstep.recovery import phases
+from wickstep.recovery import jitter
 
 
 @pytest.fixture(autouse=True)
-def at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(phases, "DIAL_SPREAD_US", 0)
-    monkeypatch.setattr(phases, "LIST_SPREAD_S", 0.0)
+def no_jitter(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(jitter, "DIAL_JITTER_US", 0)
+    monkeypatch.setattr(jitter, "LIST_JITTER_S", 0.0)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -14,7 +14,7 @@
 
 BASIC = api.CallClass(aim=SECOND, worth=1.0, late_worth=0.25, effect=api.Effect.SAFE, allowed=None)
 URGENT = api.CallClass(aim=2 * SECOND, worth=4.0, late_worth=0.1, effect=api.Effect.SAFE, allowed=None)
-LONG = api.CallClass(SECOND, 1.0, 0.25, api.Effect.SAFE, None, length=10 * SECOND)
+LONG = api.CallClass(SECOND, 1.0, 0.25, api.Effect.SAFE, None, holding_time=10 * SECOND)
 SETTINGS = api.Settings(
     classes=(BASIC, URGENT),
     proxies=4,
@@ -36,7 +36,7 @@
 )
 
 
-def entry(
+def server_entry(
     number: int, state: api.ServerState = api.ServerState.ACTIVE, started: int = 0, name: str = ""
 ) -> api.ServerEntry:
     return api.ServerEntry(name or f"s{number}", number, started, state)
@@ -47,38 +47,40 @@
 
     def __init__(self, servers: int = 2, seed: int = 1, **changes: Any) -> None:
         self.settings = replace(SETTINGS, **changes)
-        self.brain = Controller(self.settings, seed)
+        self.controller = Controller(self.settings, seed)
         self.now = START
         self.timers: list[tuple[int, int]] = []
-        self.log: list[tuple[int, api.Action]] = []
-        self.give(api.Started())
-        self.listing(*(entry(n) for n in range(servers)))
+        self.action_log: list[tuple[int, api.Action]] = []
+        self.handle(api.Started())
+        self.update_list(*(server_entry(n) for n in range(servers)))
 
-    def give(self, event: api.Event) -> api.Actions:
-        actions = self.brain.handle(event, self.now)
+    def handle(self, event: api.Event) -> api.Actions:
+        actions = self.controller.handle(event, self.now)
         for action in actions:
-            self.log.append((self.now, action))
+            self.action_log.append((self.now, action))
             if isinstance(action, api.Wake):
                 self.timers.append((action.due, action.token))
         return actions
 
-    def listing(self, *entries: api.ServerEntry, kind: api.ListKind = api.ListKind.COMPLETE) -> api.Actions:
-        return self.give(api.ServerList(kind, entries))
+    def update_list(
+        self, *entries: api.ServerEntry, kind: api.ListKind = api.ListKind.COMPLETE
+    ) -> api.Actions:
+        return self.handle(api.ServerList(kind, entries))
 
-    def lines(self, **servers: float | tuple[float, float]) -> None:
+    def report_lines(self, **servers: float | tuple[float, float]) -> None:
         """Report lines: all of them free, or (free, lines)."""
         for name, value in servers.items():
             free, lines = value if isinstance(value, tuple) else (value, value)
-            self.give(api.ProbeAnswered(name, True, 0, {"free": float(free), "lines": float(lines)}))
+            self.handle(api.ProbeAnswered(name, True, 0, {"free": float(free), "lines": float(lines)}))
 
-    def call(self, number: int, klass: int = 0, first: int = 0, **more: Any) -> api.Actions:
-        patience = more.pop("patience", 3 * SECOND)
-        return self.give(api.NewCall(number, klass, patience, first, **more))
+    def new_call(self, number: int, klass: int = 0, first: int = 0, **more: Any) -> api.Actions:
+        patience = more.pop("max_wait", 3 * SECOND)
+        return self.handle(api.NewCall(number, klass, patience, first, **more))
 
-    def stands(self, number: int, server: str, took: int = 50 * MS, attempt: int = 0) -> api.Actions:
-        return self.give(api.CallStands(number, attempt, server, took))
+    def call_stands(self, number: int, server: str, took: int = 50 * MS, attempt: int = 0) -> api.Actions:
+        return self.handle(api.CallStands(number, attempt, server, took))
 
-    def ended(
+    def attempt_ended(
         self,
         number: int,
         server: str,
@@ -88,11 +90,11 @@
         busy: bool = False,
         report: dict[str, float] | None = None,
     ) -> api.Actions:
-        return self.give(
+        return self.handle(
             api.AttemptEnded(number, attempt, server, outcome, 50 * MS, over, busy, report or {})
         )
 
-    def run(self, duration: int) -> api.Actions:
+    def advance(self, duration: int) -> api.Actions:
         """Let time pass, delivering timers that fall due."""
         end = self.now + duration
         done: api.Actions = []
@@ -103,17 +105,17 @@
             first = min(due)
             self.timers.remove(first)
             self.now = max(self.now, first[0])
-            done += self.give(api.TimerDue(first[1]))
+            done += self.handle(api.TimerDue(first[1]))
         self.now = end
         return done
 
     def sends(self) -> list[tuple[int, api.Send]]:
-        return [(at, action) for at, action in self.log if isinstance(action, api.Send)]
+        return [(at, action) for at, action in self.action_log if isinstance(action, api.Send)]
 
 
-def sent_to(actions: api.Actions) -> list[str]:
+def sent_servers(actions: api.Actions) -> list[str]:
     return [action.server for action in actions if isinstance(action, api.Send)]
 
 
-def finals(actions: api.Actions) -> list[api.Action]:
+def final_answers(actions: api.Actions) -> list[api.Action]:
     return [action for action in actions if isinstance(action, api.Refuse | api.Fail)]
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -11,22 +11,24 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wickstep.forms import BadForm
+from wickstep.forms import KdlError
 from wickstep.recovery import journal as journals
 from wickstep.recovery import plan, records
-from wickstep.recovery.journal import BATCH, NEVER, SYNCS, TURN, Journal, replay
-from wickstep.recovery.ledger import Known, Ledger, Phase
+from wickstep.recovery.journal import SYNC_BATCH, SYNC_MODES, SYNC_NEVER, SYNC_TURN, Journal, replay
+from wickstep.recovery.ledger import CallState, Ledger, Phase
+from wickstep.recovery.reconciliation import SECOND, START_JITTER_S, Reconciler, ServerView, Verdict
 from wickstep.recovery.records import Kind, Record
-from wickstep.recovery.settling import SECOND, START_SPREAD_S, Settling, Verdict, View
 
 MOST = 1_000_000
 
 EVENT = st.one_of(
-    st.tuples(st.just("taken"), st.integers(1, 6), st.just(0), st.just("")),
-    st.tuples(st.just("sent"), st.integers(1, 6), st.integers(0, 4), st.sampled_from(["a", "b", "ü" * 90])),
+    st.tuples(st.just("call_taken"), st.integers(1, 6), st.just(0), st.just("")),
+    st.tuples(
+        st.just("attempt_sent"), st.integers(1, 6), st.integers(0, 4), st.sampled_from(["a", "b", "ü" * 90])
+    ),
     *(
         st.tuples(st.just(word), st.integers(1, 6), st.just(0), st.just(""))
-        for word in ("over", "stands", "ended")
+        for word in ("attempt_over", "call_stands", "call_ended")
     ),
 )
 Events = list[tuple[str, int, int, str]]
@@ -34,20 +36,20 @@
 
 def tell(journal: Journal, event: tuple[str, int, int, str]) -> None:
     word, call, attempt, host = event
-    if word == "sent":
-        journal.sent(call, attempt, host, 1000 + attempt)
+    if word == "attempt_sent":
+        journal.attempt_sent(call, attempt, host, 1000 + attempt)
     else:
         getattr(journal, word)(call)
 
 
-def history(events: Events, folder: Path, **changes: int) -> tuple[bytes, list[dict[int, Known]]]:
+def history(events: Events, folder: Path, **changes: int) -> tuple[bytes, list[dict[int, CallState]]]:
     """The segment that these leave, and what was live after each of them."""
-    journal = Journal(folder, "n1", changes.get("most", MOST), NEVER)
+    journal = Journal(folder, "n1", changes.get("most", MOST), SYNC_NEVER)
     journal.open(0)
     states = [dict(journal.ledger.live)]
     for now, event in enumerate(events):
         tell(journal, event)
-        journal.turn(now)
+        journal.end_turn(now)
         states.append(dict(journal.ledger.live))
     journal.close()
     (name,) = sorted(os.listdir(folder))
@@ -66,7 +68,7 @@
     for cut in range(len(raw) + 1):
         path.write_bytes(raw[:cut])
         live = replay(folder, "n1", MOST).live
-        # A `sent` may be two records: after the first, which names its server, nothing has changed.
+        # An `attempt_sent` may be two records: after the first, which names its server, nothing has changed.
         while seen < len(states) and live != states[seen]:
             seen += 1
         assert seen < len(states), f"cut at {cut}"
@@ -87,7 +89,7 @@
     path.write_bytes(spoilt)
     found = replay(folder, "n1", MOST)
     assert found.live in states
-    assert found.spoilt or found.passed
+    assert found.corrupt or found.skipped
     shutil.rmtree(folder)
 
 
@@ -101,7 +103,7 @@
     once = replay(folder, "n1", MOST)
     assert replay(folder, "n1", MOST) == once
     assert once.live == states[-1]
-    again = Journal(folder, "n1", MOST, NEVER)
+    again = Journal(folder, "n1", MOST, SYNC_NEVER)
     again.open(0)  # a life that ends at once
     assert replay(folder, "n1", MOST).live == once.live
     for event in second:
@@ -113,44 +115,44 @@
 
 
 def test_a_kill_between_two_segments_leaves_the_one_before(tmp_path: Path) -> None:
-    history([("taken", 1, 0, ""), ("sent", 1, 0, "a"), ("stands", 1, 0, "")], tmp_path)
+    history([("call_taken", 1, 0, ""), ("attempt_sent", 1, 0, "a"), ("call_stands", 1, 0, "")], tmp_path)
     (old,) = tmp_path.iterdir()
     new = tmp_path / "calls-000000000000000002"
-    whole = records.head("n1", 2) + b"".join(map(records.written, Ledger().beginning()))
+    whole = records.encode_head("n1", 2) + b"".join(map(records.encode, Ledger().snapshot()))
     for cut in range(len(whole)):
         new.write_bytes(whole[:cut])
         assert set(replay(tmp_path, "n1", MOST).live) == {1}
     new.write_bytes(whole)
     assert replay(tmp_path, "n1", MOST).live == {}
     shutil.copy(new, tmp_path / "calls-000000000000000003")  # the same segment under another name
-    assert any("twice" in text for text in replay(tmp_path, "n1", MOST).passed)
+    assert any("twice" in text for text in replay(tmp_path, "n1", MOST).skipped)
     old.unlink()
     assert replay(tmp_path, "n1", MOST).live == {}
 
 
 def test_the_bound_on_bytes_holds_whatever_is_written(tmp_path: Path) -> None:
-    journal = Journal(tmp_path, "n1", 30_000, NEVER)
+    journal = Journal(tmp_path, "n1", 30_000, SYNC_NEVER)
     journal.open(0)
     largest = 0
     for call in range(1, 5000):
-        journal.taken(call)
-        journal.sent(call, 0, f"s-{call % 7}", 0)
-        journal.stands(call)
+        journal.call_taken(call)
+        journal.attempt_sent(call, 0, f"s-{call % 7}", 0)
+        journal.call_stands(call)
         if call > 20:
-            journal.ended(call - 20)
-        journal.turn(call)
+            journal.call_ended(call - 20)
+        journal.end_turn(call)
         largest = max(largest, sum(path.stat().st_size for path in tmp_path.iterdir()))
     assert largest <= 30_000
     assert set(replay(tmp_path, "n1", MOST).live) == set(range(4980, 5000))
-    assert journal.written > 10 * largest
+    assert journal.bytes_written > 10 * largest
 
 
 def test_the_table_of_calls_is_bounded() -> None:
-    ledger = Ledger(most=3)
+    ledger = Ledger(max_calls=3)
     for call in range(1, 6):
         ledger.apply(Record(Kind.TAKEN, call))
     assert list(ledger.live) == [3, 4, 5]
-    assert ledger.forgotten == 2
+    assert ledger.evicted == 2
 
 
 @pytest.mark.parametrize("spoil", ["another's", "older", "empty", "folder", "link", "noise"])
@@ -159,35 +161,35 @@
 ) -> None:
     path = tmp_path / "calls-000000000000000007"
     if spoil == "another's":
-        path.write_bytes(records.head("n2", 7) + records.written(Record(Kind.LIVE)))
+        path.write_bytes(records.encode_head("n2", 7) + records.encode(Record(Kind.LIVE)))
     elif spoil == "older":
-        path.write_bytes(b"wkcalls\x00" + records.head("n1", 7)[8:])
+        path.write_bytes(b"wkcalls\x00" + records.encode_head("n1", 7)[8:])
     elif spoil == "folder":
         path.mkdir()
     elif spoil == "link":
         path.symlink_to("/etc/hostname")
     else:
         path.write_bytes(b"" if spoil == "empty" else bytes(range(256)) * 40)
-    journal = Journal(tmp_path, "n1", MOST, NEVER)
+    journal = Journal(tmp_path, "n1", MOST, SYNC_NEVER)
     found = journal.open(0)
     assert found.live == {}
-    assert len(found.passed) == 1
-    assert found.told().count("\n") == 0
-    assert journal.kept
-    journal.taken(1)
-    journal.turn(1)
+    assert len(found.skipped) == 1
+    assert found.summary().count("\n") == 0
+    assert journal.is_kept
+    journal.call_taken(1)
+    journal.end_turn(1)
     assert set(replay(tmp_path, "n1", MOST).live) == {1}
     assert path.exists() or path.is_symlink()
 
 
 def test_a_journal_far_larger_than_its_bound_is_read_up_to_it(tmp_path: Path) -> None:
-    raw, states = history([("taken", n, 0, "") for n in range(1, 500)], tmp_path)
+    raw, states = history([("call_taken", n, 0, "") for n in range(1, 500)], tmp_path)
     found = replay(tmp_path, "n1", len(raw) // 2)
     assert found.live in states
     assert 0 < len(found.live) < 499
 
 
-@pytest.mark.parametrize("sync", SYNCS)
+@pytest.mark.parametrize("sync", SYNC_MODES)
 def test_a_folder_that_fails_costs_one_line_and_no_call(
     tmp_path: Path, sync: str, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -195,14 +197,14 @@
     with caplog.at_level(logging.WARNING):
         journal.open(0)
         for now in range(100):
-            journal.taken(now + 1)
-            journal.sent(now + 1, 0, "a", 0)
-            journal.turn(now)
-    assert journal.kept is False
+            journal.call_taken(now + 1)
+            journal.attempt_sent(now + 1, 0, "a", 0)
+            journal.end_turn(now)
+    assert journal.is_kept is False
     assert len([line for line in caplog.messages if "not kept" in line]) == 1
     (tmp_path / "missing").mkdir()
-    journal.turn(journals.AGAIN_US + 1)
-    assert journal.kept
+    journal.end_turn(journals.RETRY_AFTER_US + 1)
+    assert journal.is_kept
     assert len(replay(tmp_path / "missing", "n1", MOST).live) == 100
 
     def full(*_: object) -> int:
@@ -212,65 +214,65 @@
     caplog.clear()
     with caplog.at_level(logging.WARNING):
         for now in range(50):
-            journal.ended(now + 1)
-            journal.turn(journals.AGAIN_US + 2 + now)
-    assert journal.kept is False
+            journal.call_ended(now + 1)
+            journal.end_turn(journals.RETRY_AFTER_US + 2 + now)
+    assert journal.is_kept is False
     assert len(caplog.messages) == 1
     monkeypatch.undo()
-    journal.turn(3 * journals.AGAIN_US)
+    journal.end_turn(3 * journals.RETRY_AFTER_US)
     assert len(replay(tmp_path / "missing", "n1", MOST).live) == 50
     journal.close()
 
 
 def test_what_is_about_to_go_out_or_to_be_told_is_handed_over_first(tmp_path: Path) -> None:
-    journal = Journal(tmp_path, "n1", MOST, BATCH)
+    journal = Journal(tmp_path, "n1", MOST, SYNC_BATCH)
     journal.open(0)
-    journal.taken(1)
-    journal.sent(1, 0, "a", 5)
-    assert replay(tmp_path, "n1", MOST).live == {1: Known(Phase.OUT, "a", 5, 0, 0)}
-    journal.stands(1)
+    journal.call_taken(1)
+    journal.attempt_sent(1, 0, "a", 5)
+    assert replay(tmp_path, "n1", MOST).live == {1: CallState(Phase.OUT, "a", 5, 0, 0)}
+    journal.call_stands(1)
     assert replay(tmp_path, "n1", MOST).live[1].phase is Phase.STANDS
-    journal.ended(1)
+    journal.call_ended(1)
     assert 1 in replay(tmp_path, "n1", MOST).live  # goes with the turn
-    journal.turn(1)
+    journal.end_turn(1)
     assert replay(tmp_path, "n1", MOST).live == {}
 
 
 def test_a_clock_that_went_back_is_no_matter(tmp_path: Path) -> None:
-    journal = Journal(tmp_path, "n1", MOST, TURN, zero_us=-10 * SECOND)
+    journal = Journal(tmp_path, "n1", MOST, SYNC_TURN, zero_us=-10 * SECOND)
     journal.open(0)
-    journal.sent(1, 0, "a", 0)
+    journal.attempt_sent(1, 0, "a", 0)
     journal.close()
     assert replay(tmp_path, "n1", MOST).live[1].sent_ms == 0
 
 
 def test_a_call_that_is_over_is_owed_to_its_caller_until_that_has_heard_so(tmp_path: Path) -> None:
-    journal = Journal(tmp_path, "n1", MOST, NEVER)
+    journal = Journal(tmp_path, "n1", MOST, SYNC_NEVER)
     journal.open(0)
     for call in (1, 2, 3):
-        journal.sent(call, 0, "a", 0)
-        journal.stands(call)
-        journal.over(call)  # its server has said so, and its caller is told next
-    journal.ended(1)  # which that confirms
-    journal.turn(1)
-    again = Journal(tmp_path, "n1", MOST, NEVER)
+        journal.attempt_sent(call, 0, "a", 0)
+        journal.call_stands(call)
+        journal.attempt_over(call)  # its server has said so, and its caller is told next
+    journal.call_ended(1)  # which that confirms
+    journal.end_turn(1)
+    again = Journal(tmp_path, "n1", MOST, SYNC_NEVER)
     found = again.open(2)
     assert {call: known.phase for call, known in found.live.items()} == {2: Phase.ENDING, 3: Phase.ENDING}
-    again.turn(journals.HEARD_US + 2)
+    again.end_turn(journals.CONFIRM_TIMEOUT_US + 2)
     assert replay(tmp_path, "n1", MOST).live == {}
 
 
 # What becomes of each call.
 
-STOOD = Known(Phase.STANDS, "a", 1000, 0, 0)
-OUT = Known(Phase.OUT, "a", 1000, 0, 0)
-HERE = View(True, 1000, 0)
+STOOD = CallState(Phase.STANDS, "a", 1000, 0, 0)
+OUT = CallState(Phase.OUT, "a", 1000, 0, 0)
+HERE = ServerView(True, 1000, 0)
 
 
-def settled(known: Known, view: View | None, at_s: float) -> Verdict | None:
-    settling = Settling({1: known}, 0, 100, 5 * SECOND, 0.0)
-    settling.steps({}, 0) if view is None and at_s < 0 else None
-    steps = settling.steps({} if view is None else {"a": view}, int(at_s * SECOND))
+def settled(known: CallState, view: ServerView | None, at_s: float) -> Verdict | None:
+    settling = Reconciler({1: known}, 0, 100, 5 * SECOND, 0.0)
+    settling.next_steps({}, 0) if view is None and at_s < 0 else None
+    steps = settling.next_steps({} if view is None else {"a": view}, int(at_s * SECOND))
     return steps[0].verdict if steps else None
 
 
@@ -278,87 +280,89 @@
     ("known", "view", "at_s", "verdict"),
     [
         (STOOD, None, 0.1, Verdict.CUT),  # not on the list any more
-        (STOOD, View(False, 1000, None), 0.1, Verdict.CUT),  # gone
-        (STOOD, View(True, 2000, 0), 0.1, Verdict.CUT),  # started later
+        (STOOD, ServerView(False, 1000, None), 0.1, Verdict.CUT),  # gone
+        (STOOD, ServerView(True, 2000, 0), 0.1, Verdict.CUT),  # started later
         (STOOD, HERE, 0.9, None),  # connected: it has a second to say what ended
         (STOOD, HERE, 1.0, Verdict.CONFIRMED),
-        (STOOD, View(True, 1000, None), 4.9, None),
-        (STOOD, View(True, 1000, None), 5.0, Verdict.RELEASED),
-        (STOOD, View(True, 1000, int(4.5 * SECOND)), 5.2, Verdict.RELEASED),  # came up too late to confirm
+        (STOOD, ServerView(True, 1000, None), 4.9, None),
+        (STOOD, ServerView(True, 1000, None), 5.0, Verdict.RELEASED),
+        (STOOD, ServerView(True, 1000, int(4.5 * SECOND)), 5.2, Verdict.RELEASED),  # too late to confirm
         (STOOD._replace(phase=Phase.ENDING), HERE, 0.1, Verdict.CUT),  # its caller may not have heard
         (OUT, HERE, 0.1, Verdict.GIVEN_UP),
-        (OUT, View(True, 2000, 0), 0.1, Verdict.SETTLED),
+        (OUT, ServerView(True, 2000, 0), 0.1, Verdict.SETTLED),
         (OUT, None, 0.1, Verdict.SETTLED),
-        (OUT, View(True, 1000, None), 4.9, None),
-        (OUT, View(True, 1000, None), 5.0, Verdict.SETTLED),
-        (Known(Phase.TAKEN), None, 0.1, Verdict.SETTLED),
-        (Known(Phase.TAKEN, "a", 1000, 1, 0), HERE, 0.1, Verdict.SETTLED),  # its attempt had ended
+        (OUT, ServerView(True, 1000, None), 4.9, None),
+        (OUT, ServerView(True, 1000, None), 5.0, Verdict.SETTLED),
+        (CallState(Phase.TAKEN), None, 0.1, Verdict.SETTLED),
+        (CallState(Phase.TAKEN, "a", 1000, 1, 0), HERE, 0.1, Verdict.SETTLED),  # its attempt had ended
     ],
 )
-def test_each_call_has_one_verdict(known: Known, view: View | None, at_s: float, verdict: Verdict) -> None:
+def test_each_call_has_one_verdict(
+    known: CallState, view: ServerView | None, at_s: float, verdict: Verdict
+) -> None:
     assert settled(known, view, at_s) is verdict
 
 
 def test_cuts_come_first_and_the_pace_is_kept() -> None:
     found = {n: STOOD if n % 2 else OUT for n in range(1, 401)}
-    settling = Settling(found, 0, 100, 5 * SECOND, 0.0)
-    views = {"a": View(True, 2000, 0)}  # every standing call is cut, the others are settled
+    settling = Reconciler(found, 0, 100, 5 * SECOND, 0.0)
+    views = {"a": ServerView(True, 2000, 0)}  # every standing call is cut, the others are settled
     cut: list[int] = []
     for tick in range(1, 61):
-        steps = settling.steps(views, tick * SECOND // 20)
+        steps = settling.next_steps(views, tick * SECOND // 20)
         cut += [step.call for step in steps if step.verdict is Verdict.CUT]
         assert len(cut) <= 100 * tick / 20 + 10
     assert len(cut) == len(set(cut)) == 200
     assert len(settling) == 0
-    both = Settling({1: OUT, 2: Known(Phase.STANDS, "gone", 0)}, 0, 10, 5 * SECOND, 0.0)
-    assert [step.call for step in both.steps({"a": HERE}, SECOND // 10)] == [2]
+    both = Reconciler({1: OUT, 2: CallState(Phase.STANDS, "gone", 0)}, 0, 10, 5 * SECOND, 0.0)
+    assert [step.call for step in both.next_steps({"a": HERE}, SECOND // 10)] == [2]
 
 
 def test_what_has_ended_meanwhile_is_not_settled() -> None:
-    settling = Settling({1: STOOD, 2: STOOD}, 0, 100, 5 * SECOND, 0.0)
-    settling.ended(1)
-    assert [step.call for step in settling.steps({}, SECOND)] == [2]
+    settling = Reconciler({1: STOOD, 2: STOOD}, 0, 100, 5 * SECOND, 0.0)
+    settling.call_ended(1)
+    assert [step.call for step in settling.next_steps({}, SECOND)] == [2]
 
 
 def test_two_hundred_that_return_together_begin_at_drawn_moments() -> None:
     began = []
     for number in range(200):
-        settling = Settling({1: STOOD}, 0, 100, 5 * SECOND, number / 200)
-        began.append(next(at for at in range(0, SECOND, SECOND // 100) if settling.steps({}, at)))
+        settling = Reconciler({1: STOOD}, 0, 100, 5 * SECOND, number / 200)
+        began.append(next(at for at in range(0, SECOND, SECOND // 100) if settling.next_steps({}, at)))
     busiest = max(sum(at <= other < at + SECOND // 10 for other in began) for at in began)
-    assert busiest <= 200 * 0.1 / START_SPREAD_S + 4
+    assert busiest <= 200 * 0.1 / START_JITTER_S + 4
 
 
 @settings(max_examples=50, deadline=None)
 @given(
-    st.dictionaries(st.integers(1, 50), st.sampled_from([STOOD, OUT, Known(Phase.TAKEN)]), max_size=30),
+    st.dictionaries(st.integers(1, 50), st.sampled_from([STOOD, OUT, CallState(Phase.TAKEN)]), max_size=30),
     st.lists(
         st.one_of(st.none(), st.booleans().flatmap(
-            lambda there: st.builds(View, st.just(there), st.sampled_from([0, 1000, 2000]),
+            lambda there: st.builds(ServerView, st.just(there), st.sampled_from([0, 1000, 2000]),
                                     st.one_of(st.none(), st.integers(0, 3 * SECOND))))),
         min_size=1, max_size=8,
     ),
 )  # fmt: skip
 def test_whatever_servers_do_each_call_is_settled_once_and_in_time(
-    found: dict[int, Known], views: list[View | None]
+    found: dict[int, CallState], views: list[ServerView | None]
 ) -> None:
-    settling = Settling(found, 0, 200, 5 * SECOND, 0.3)
+    settling = Reconciler(found, 0, 200, 5 * SECOND, 0.3)
     done: list[int] = []
     for tick in range(1, 200):
         view = views[tick % len(views)]
         done += [
             step.call
-            for step in settling.steps({} if view is None else {"a": view}, tick * SECOND // 20)
+            for step in settling.next_steps({} if view is None else {"a": view}, tick * SECOND // 20)
         ]
     assert sorted(done) == sorted(found)
 
 
 def test_the_operators_file_names_the_journal_and_wrong_ones_are_refused() -> None:
     text = 'recovery {\n folder "/x"\n calls sync="each-turn" bytes-most=200000 confirm-s=2 pace=50\n}'
-    found = plan.read(text).calls
-    assert found == plan.CallsPlan("each-turn", 200_000, 2.0, 50.0)
-    assert plan.read('recovery {\n folder "/x"\n}').calls is None
-    assert plan.SYNCS == SYNCS
+    found = plan.read(text).call_journal
+    assert found == plan.JournalPlan("each-turn", 200_000, 2.0, 50.0)
+    assert plan.read('recovery {\n folder "/x"\n}').call_journal is None
+    assert plan.SYNC_MODES == SYNC_MODES
     for wrong in ("sync=\"often\"", "bytes-most=5", "confirm-s=0", "pace=0", "keep=1"):
-        with pytest.raises(BadForm):
+        with pytest.raises(KdlError):
             plan.read(f'recovery {{\n folder "/x"\n calls {wrong}\n}}')
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -46,7 +46,9 @@
         self.due: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self.order, self.calls = itertools.count(), itertools.count(1)
         self.settings = api.Settings(
-            classes=(api.CallClass(1500 * MS, 1.0, 0.1, api.Effect.SAFE, None, length=HOLD_S * SECOND),),
+            classes=(
+                api.CallClass(1500 * MS, 1.0, 0.1, api.Effect.SAFE, None, holding_time=HOLD_S * SECOND),
+            ),
             proxies=self.processes, max_attempts=5, max_retry_after=2 * SECOND, retransmit=0,
             release_wait=SECOND // 5, drain_grace=2 * SECOND, cold_from=FROM, ramp_time=RAMP,
             fall_multiple=MULTIPLE, fall_window=WINDOW, may_cancel=True, may_probe=True, may_message=False,
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -14,7 +14,7 @@
 
 from wickstep.net import Answer, SetUp, Test, TestResult
 
-from .test_softswitch import PATIENCE, Bulletin, Peer, Server, line, wait_for
+from .test_softswitch import TIMEOUT_S, Bulletin, Peer, Server, list_line, wait_for
 from .test_wire import CONF, ROOT
 
 FEW = 96  # descriptors of the process
@@ -43,7 +43,7 @@
         assert process.stderr is not None
         host, port = next(iter(process.stderr)).split()[-1].rsplit(":", 1)
         for _ in range(IDLE):
-            idle.append(socket.create_connection((host, int(port)), timeout=PATIENCE))
+            idle.append(socket.create_connection((host, int(port)), timeout=TIMEOUT_S))
         held = Path(f"/proc/{process.pid}/fd")
         wait_for(lambda: len(os.listdir(held)) > FEW // 3)
         before = cpu_s(process.pid)
@@ -54,9 +54,9 @@
         away.close()
         server, back = Server(), Bulletin(int(bulletin.rsplit(":", 1)[1]))
         back.number = 0  # nothing was known
-        back.tell(line(server, "s-1"), whole=True)
+        back.tell(list_line(server, "s-1"), whole=True)
         trunk = server.accept()  # followed, and connected to
-        caller = Peer(socket.create_connection((host, int(port)), timeout=PATIENCE))
+        caller = Peer(socket.create_connection((host, int(port)), timeout=TIMEOUT_S))
         caller.say(Test(1), SetUp(0xD1, "voice", 5000, "7", b"offer", first_choice=0))
         assert caller.hear(TestResult, 1).passed
         trunk.hear(SetUp, 0xD1)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -13,9 +13,9 @@
 from wickstep.fleet.model import Model, Outcome
 from wickstep.fleet.plan import Crowd, Happening, Kind, Plan, Tariff
 from wickstep.fleet.processor import Processor
-from wickstep.forms import BadForm
+from wickstep.forms import KdlError
 from wickstep.interface import ServerState
-from wickstep.spread.reasons import Why
+from wickstep.spread.reasons import SendReason
 
 # Thirty softswitches with two or three calls a second each; two servers with few lines, a slow one with many.
 EXAMPLES = Path(__file__).parent.parent / "examples" / "fleets"
@@ -51,7 +51,7 @@
     ],
 )  # fmt: skip
 def test_bad_plans_are_refused(text: str) -> None:
-    with pytest.raises(BadForm):
+    with pytest.raises(KdlError):
         plan.read(text)
 
 
@@ -154,7 +154,7 @@
     gone = [name for name, server in model.servers.items() if server.state is ServerState.GONE]
     late = [item for item in outcome.record.sent if item.server in gone and item.at > 4 + 3]
     assert not late
-    assert {item.why for item in outcome.record.sent} <= set(Why)
+    assert {item.reason for item in outcome.record.sent} <= set(SendReason)
 
 
 @pytest.mark.parametrize("path", sorted(EXAMPLES.glob("*.kdl")), ids=lambda path: path.stem)
--- a/tests/test_number_stories.py
+++ b/tests/test_number_stories.py
@@ -11,14 +11,14 @@
 
 import pytest
 
-from wickstep.net import Answer, Malformed, Note, Reason, Release, ReleaseHeard, SetUp
+from wickstep.net import Answer, MalformedMessage, Note, Reason, Release, ReleaseComplete, SetUp
 from wickstep.net import softswitch as module
 from wickstep.net.softswitch import Config, Softswitch
 from wickstep.numbering import reader, stage
 
 from .checker import Checker
 from .enum_stand_in import EnumServer, record
-from .test_softswitch import PATIENCE, Peer, Server, Town, line, wait_for
+from .test_softswitch import TIMEOUT_S, Peer, Rig, Server, list_line, wait_for
 
 HEAD = 'numbering version="{version}" {{\n plan country="60" national="0"\n'
 ROUTES = ' route "a" {{ server 0; server 1; }}\n route "b" {{ server 1; }}\n route "none" {{ server 7; }}\n'
@@ -36,7 +36,7 @@
     return (HEAD + ROUTES).format(version=version) + OFFICE + rules + "}\n"
 
 
-class NumberTown(Town):
+class NumberTown(Rig):
     """Two servers, of the numbers 0 and 1, and a table."""
 
     def __init__(self, path: Path) -> None:
@@ -46,15 +46,15 @@
     def begin(self, table: str, servers: int = 2) -> list[Peer]:
         self.path.write_text(table)
         self.servers = [Server() for _ in range(servers)]
-        made = [stage.load(self.path)]  # handed over, not kept: whether it is freed is part of a story
+        made = [stage.load_table(self.path)]  # handed over, not kept: whether it is freed is part of a story
         self.stage: stage.NumberStage | None = None
 
-        def make(floor: module.Floor, admit: module.Admit) -> stage.NumberStage:
-            self.stage = stage.NumberStage(floor, admit, self.path, made.pop())
+        def make(shared: module.SharedState, admit: module.AdmitStage) -> stage.NumberStage:
+            self.stage = stage.NumberStage(shared, admit, self.path, made.pop())
             return self.stage
 
         self.make = make
-        self.open(*(line(server, f"s-{n}", n) for n, server in enumerate(self.servers)))
+        self.open(*(list_line(server, f"s-{n}", n) for n, server in enumerate(self.servers)))
         return [server.accept() for server in self.servers]
 
     def build(self, config: Config) -> Softswitch:
@@ -68,22 +68,22 @@
     def swap(self, table: str) -> None:
         self.path.write_text(table)
         assert self.switch is not None
-        self.switch.reload_asked = True
+        self.switch.reload_requested = True
 
     @property
     def counts(self) -> dict[str, int]:
         assert self.switch is not None
-        return self.switch.floor.counts
+        return self.switch.shared.counters
 
 
 @pytest.fixture
-def town(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[NumberTown]:
-    monkeypatch.setattr(module, "NOTICE", 0)
+def rig(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[NumberTown]:
+    monkeypatch.setattr(module, "MIN_STOP_TIME", 0)
     made = NumberTown(tmp_path / "numbers.kdl")
     yield made
     made.stop()
     assert made.switch is not None
-    assert made.switch.floor.counts["faults"] == 0
+    assert made.switch.shared.counters["faults"] == 0
 
 
 @pytest.mark.parametrize(
@@ -98,22 +98,22 @@
     ],
 )
 def test_what_leads_nowhere_is_refused_at_once_and_reaches_no_server(
-    town: NumberTown, dialled: str, reason: Reason
+    rig: NumberTown, dialled: str, reason: Reason
 ) -> None:
-    first, _ = town.begin(text())
-    caller = town.caller()
+    first, _ = rig.begin(text())
+    caller = rig.caller()
     began = time.monotonic()
-    refusal = caller.hear(Release, town.dial(caller, dialled))
+    refusal = caller.hear(Release, rig.dial(caller, dialled))
     assert time.monotonic() - began < 2  # nowhere near the caller's five seconds
     assert (refusal.reason, bool(refusal.stay_away_ms)) == (reason, reason is Reason.CONGESTED)
-    call = town.dial(caller, "0112345")
+    call = rig.dial(caller, "0112345")
     assert first.hear(SetUp).call == call  # the first that a server has seen
 
 
-def test_a_route_names_the_servers_and_no_other_is_tried(town: NumberTown) -> None:
-    _, second = town.begin(text())
-    caller = town.caller()
-    call = town.dial(caller, "0212345", first_choice=0)  # the caller's figure says 0, the route has only 1
+def test_a_route_names_the_servers_and_no_other_is_tried(rig: NumberTown) -> None:
+    _, second = rig.begin(text())
+    caller = rig.caller()
+    call = rig.dial(caller, "0212345", first_choice=0)  # the caller's figure says 0, the route has only 1
     assert second.hear(SetUp).call == call
     second.say(Release(call, Reason.FULL, Note.OVERLOAD))
     second.hear(SetUp, call)  # when its mark is over, and never the other server
@@ -121,10 +121,10 @@
     caller.hear(Answer, call)
 
 
-def test_a_route_names_the_order_of_its_servers(town: NumberTown) -> None:
-    first, second = town.begin(text())
-    caller = town.caller()
-    call = town.dial(caller, "0112345", first_choice=1)
+def test_a_route_names_the_order_of_its_servers(rig: NumberTown) -> None:
+    first, second = rig.begin(text())
+    caller = rig.caller()
+    call = rig.dial(caller, "0112345", first_choice=1)
     sent = first.hear(SetUp)
     assert (sent.call, sent.number) == (call, "0112345")  # on it goes as it was dialled
     first.say(Release(call, Reason.FULL, Note.OVERLOAD))
@@ -134,17 +134,17 @@
 
 
 def test_a_switch_of_the_time_of_day_changes_no_call_that_is_being_set_up(
-    town: NumberTown, monkeypatch: pytest.MonkeyPatch
+    rig: NumberTown, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     now = [NOON]
     monkeypatch.setattr(time, "time", lambda: now[0])
     monkeypatch.setattr(stage, "WALL_EVERY", 0)
-    first, second = town.begin(text())
-    caller = town.caller()
-    call = town.dial(caller, "0512345")
+    first, second = rig.begin(text())
+    caller = rig.caller()
+    call = rig.dial(caller, "0512345")
     first.hear(SetUp, call)
     now[0] = NIGHT
-    other = town.dial(caller, "0512345")
+    other = rig.dial(caller, "0512345")
     second.hear(SetUp, other)
     second.say(Answer(other, b"accept"))
     second.say(Release(call, Reason.FULL))  # of a call it does not have: no business of anybody's
@@ -155,26 +155,26 @@
     caller.hear(Answer, call)
 
 
-def test_a_new_table_takes_over_between_calls_and_the_old_one_goes_with_its_last(town: NumberTown) -> None:
-    first, second = town.begin(text())
-    caller = town.caller()
-    call = town.dial(caller, "0112345")
+def test_a_new_table_takes_over_between_calls_and_the_old_one_goes_with_its_last(rig: NumberTown) -> None:
+    first, second = rig.begin(text())
+    caller = rig.caller()
+    call = rig.dial(caller, "0112345")
     first.hear(SetUp, call)
-    town.swap(text(' prefix "601" route="b"\n', version="2"))
-    wait_for(lambda: town.counts["number_tables_swapped"] == 1)
-    other = town.dial(caller, "0112345")
+    rig.swap(text(' prefix "601" route="b"\n', version="2"))
+    wait_for(lambda: rig.counts["number_tables_swapped"] == 1)
+    other = rig.dial(caller, "0112345")
     second.hear(SetUp, other)
     second.say(Answer(other, b"accept"))
     caller.hear(Answer, other)
-    assert town.stage is not None
-    assert town.stage.counts()["number_tables_alive"] == 2
+    assert rig.stage is not None
+    assert rig.stage.counts()["number_tables_alive"] == 2
     first.say(Release(call, Reason.INTERRUPTED))
     first.hear(SetUp, call)  # by the table it was taken in under
     first.say(Answer(call, b"accept"))
     caller.hear(Answer, call)
     first.say(Release(call, Reason.CLEARED))
     caller.hear(Release, call)
-    wait_for(lambda: town.stage is not None and town.stage.counts()["number_tables_alive"] == 1)
+    wait_for(lambda: rig.stage is not None and rig.stage.counts()["number_tables_alive"] == 1)
 
 
 HALF = text()[: len(text()) // 2]
@@ -195,18 +195,18 @@
     ids=["empty", "half", "loop", "no route", "no list", "oversized", "no prefix", "noise"],
 )
 def test_a_table_that_is_none_changes_nothing_and_is_told(
-    town: NumberTown, caplog: pytest.LogCaptureFixture, table: str, reason: str
+    rig: NumberTown, caplog: pytest.LogCaptureFixture, table: str, reason: str
 ) -> None:
-    first, _ = town.begin(text())
-    caller = town.caller()
-    town.swap(table)
-    wait_for(lambda: town.counts["number_tables_refused"] == 1)
+    first, _ = rig.begin(text())
+    caller = rig.caller()
+    rig.swap(table)
+    wait_for(lambda: rig.counts["number_tables_refused"] == 1)
     wait_for(lambda: "number table 1 stays" in caplog.text)  # counted first, then told
     assert reason in caplog.text
-    call = town.dial(caller, "0112345")
+    call = rig.dial(caller, "0112345")
     first.hear(SetUp, call)
-    town.swap(text(version="3"))
-    wait_for(lambda: town.counts["number_tables_swapped"] == 1)
+    rig.swap(text(version="3"))
+    wait_for(lambda: rig.counts["number_tables_swapped"] == 1)
 
 
 # Look-ups.
@@ -228,15 +228,15 @@
 @pytest.mark.parametrize("manner", ["well", "silent", "refuses", "noise", "closes", "gone"])
 @pytest.mark.parametrize("fallback", ["dialled", "refuse"])
 def test_a_look_up_is_followed_or_falls_back_in_time(
-    town: NumberTown, base: EnumServer, manner: str, fallback: str
+    rig: NumberTown, base: EnumServer, manner: str, fallback: str
 ) -> None:
-    first, second = town.begin(asking(base, fallback))
+    first, second = rig.begin(asking(base, fallback))
     base.manner = manner
     if manner == "gone":
         base.stop()
-    caller = town.caller()
+    caller = rig.caller()
     began = time.monotonic()
-    call = town.dial(caller, "0123")
+    call = rig.dial(caller, "0123")
     if manner != "well" and fallback == "refuse":
         assert caller.hear(Release, call).reason is Reason.UNALLOCATED
         assert time.monotonic() - began < 3  # of the five seconds that the caller would wait
@@ -249,18 +249,18 @@
 
 
 def test_a_caller_that_gives_up_while_its_look_up_is_out_gets_nothing_more(
-    town: NumberTown, base: EnumServer
+    rig: NumberTown, base: EnumServer
 ) -> None:
-    first, second = town.begin(asking(base))
+    first, second = rig.begin(asking(base))
     base.manner = "silent"
-    caller = town.caller()
-    call = town.dial(caller, "0123")
+    caller = rig.caller()
+    call = rig.dial(caller, "0123")
     wait_for(lambda: len(base.held) == 1)
     caller.say(Release(call, Reason.CLEARED))
-    wait_for(lambda: town.counts["callers_left"] == 1)
+    wait_for(lambda: rig.counts["callers_left"] == 1)
     base.manner = "well"
     base.let_go()
-    other = town.dial(caller, "0123")  # the answer was for nobody, but it is remembered
+    other = rig.dial(caller, "0123")  # the answer was for nobody, but it is remembered
     assert second.hear(SetUp).call == other
     second.say(Answer(other, b"accept"))
     caller.hear(Answer, other)
@@ -268,34 +268,34 @@
     assert len(base.asked) <= 2
 
 
-def test_a_look_up_never_makes_an_answer_late(town: NumberTown, base: EnumServer) -> None:
-    first, _ = town.begin(asking(base, budget_ms=60_000))
+def test_a_look_up_never_makes_an_answer_late(rig: NumberTown, base: EnumServer) -> None:
+    first, _ = rig.begin(asking(base, budget_ms=60_000))
     base.manner = "silent"
-    caller = town.caller()
+    caller = rig.caller()
     began = time.monotonic()
-    call = town.dial(caller, "0123", wait_ms=2000)
+    call = rig.dial(caller, "0123", wait_ms=2000)
     first.hear(SetUp, call)  # after a quarter of what the caller waits, not the plan's minute
     assert time.monotonic() - began < 1.5
     first.say(Answer(call, b"accept"))
     caller.hear(Answer, call)
 
 
-def test_a_table_may_turn_look_ups_off_and_on_while_they_are_out(town: NumberTown, base: EnumServer) -> None:
-    first, second = town.begin(asking(base))
+def test_a_table_may_turn_look_ups_off_and_on_while_they_are_out(rig: NumberTown, base: EnumServer) -> None:
+    first, second = rig.begin(asking(base))
     base.manner = "silent"
-    caller = town.caller()
-    call = town.dial(caller, "0123")
+    caller = rig.caller()
+    call = rig.dial(caller, "0123")
     wait_for(lambda: len(base.held) == 1)
-    town.swap(text(' prefix "601" route="b"\n', version="2"))
+    rig.swap(text(' prefix "601" route="b"\n', version="2"))
     first.hear(SetUp, call)  # the question was given up with its client: by its own table, as dialled
     first.say(Answer(call, b"accept"))
     caller.hear(Answer, call)
-    other = town.dial(caller, "0123")
+    other = rig.dial(caller, "0123")
     second.hear(SetUp, other)
     base.manner = "well"
-    town.swap(asking(base))
-    wait_for(lambda: town.counts["number_tables_swapped"] == 2)
-    third = town.dial(caller, "0123")
+    rig.swap(asking(base))
+    wait_for(lambda: rig.counts["number_tables_swapped"] == 2)
+    third = rig.dial(caller, "0123")
     second.hear(SetUp, third)  # ported
     assert base.asked == ["60123", "60123"]
 
@@ -333,7 +333,7 @@
                     elif isinstance(message, Release) and message.call in out:
                         out.discard(message.call)
                         self.checker.ended(message.call, self.name, "given_up")
-        except (OSError, Malformed):
+        except (OSError, MalformedMessage):
             pass
         for call in out:
             self.checker.ended(call, self.name, "reset")
@@ -354,28 +354,28 @@
             peer.say(Answer(call, b"accept"), Release(call, Reason.CLEARED))
 
 
-def test_tables_swapped_under_load_leave_every_call_one_outcome(town: NumberTown, base: EnumServer) -> None:
+def test_tables_swapped_under_load_leave_every_call_one_outcome(rig: NumberTown, base: EnumServer) -> None:
     checker = Checker()
     rules = ' prefix "601" route="{}" portability="dialled"\n prefix "602" route="b"\n prefix "604" bar="x"\n'
     tables = [
         text(f' portability "{base.dial}" budget-ms=100\n' + rules.format(route), version=route)
         for route in ("a", "b")
     ]
-    town.path.write_text(tables[0])
+    rig.path.write_text(tables[0])
     servers = [Server() for _ in range(2)]
     for number, server in enumerate(servers):
         Actor(f"s-{number}", server, checker, seed=number)
-    first = stage.load(town.path)
-    town.make = lambda floor, admit: stage.NumberStage(floor, admit, town.path, first)
-    town.open(*(line(server, f"s-{n}", n) for n, server in enumerate(servers)), max_open=1000)
-    callers = [town.caller() for _ in range(4)]
+    first = stage.load_table(rig.path)
+    rig.make = lambda shared, admit: stage.NumberStage(shared, admit, rig.path, first)
+    rig.open(*(list_line(server, f"s-{n}", n) for n, server in enumerate(servers)), max_open=1000)
+    callers = [rig.caller() for _ in range(4)]
     over = threading.Event()
     calls = 300
 
     with_answer: set[int] = set()  # a release after the answer is the call's end, on whichever connection
 
     def listen(caller: Peer) -> None:
-        caller.sock.settimeout(PATIENCE)
+        caller.sock.settimeout(TIMEOUT_S)
         try:
             while data := caller.sock.recv(65536):
                 for message in caller.splitter.feed(data):
@@ -383,7 +383,7 @@
                         with_answer.add(message.call)
                         checker.final(message.call, "stands")
                     elif isinstance(message, Release):
-                        caller.say(ReleaseHeard(message.call))
+                        caller.say(ReleaseComplete(message.call))
                         if message.call not in with_answer:
                             checker.final(message.call, message.reason.value)
         except OSError:
@@ -392,7 +392,7 @@
     def swaps() -> None:
         lots = random.Random(5)
         while not over.wait(0.02):
-            town.swap(lots.choice([*tables, tables[0][:60], "", tables[1].replace("server 1", "server 1.5")]))
+            rig.swap(lots.choice([*tables, tables[0][:60], "", tables[1].replace("server 1", "server 1.5")]))
             base.manner = lots.choice(["well", "well", "silent", "noise", "closes"])
             if lots.random() < 0.1:
                 base.stop()
@@ -415,23 +415,23 @@
             checker.left(call)
             caller.say(Release(call, Reason.CLEARED))
         time.sleep(0.005)
-    wait_for(lambda: town.counts["taken_in"] == calls)  # else the last may be unread still
-    wait_for(lambda: town.switch is not None and not town.switch.floor.open)
+    wait_for(lambda: rig.counts["taken_in"] == calls)  # else the last may be unread still
+    wait_for(lambda: rig.switch is not None and not rig.switch.shared.open_calls)
     # On a busy machine a swap takes longer than the calls leave room for.
-    wait_for(lambda: min(town.counts["number_tables_swapped"], town.counts["number_tables_refused"]) > 3)
+    wait_for(lambda: min(rig.counts["number_tables_swapped"], rig.counts["number_tables_refused"]) > 3)
     # Its answer may be on its way still, and who hears it cannot confirm anything once the end is begun.
     wait_for(lambda: not any("no final answer" in trouble for trouble in checker.broken()))
     over.set()
-    threads[-1].join(PATIENCE)
+    threads[-1].join(TIMEOUT_S)
     for caller in callers:
         caller.sock.shutdown(socket.SHUT_WR)
     for thread in threads:
-        thread.join(PATIENCE)
+        thread.join(TIMEOUT_S)
     assert checker.broken() == []
     kinds = [kind for story in checker.calls.values() for _, kind in story.finals]
     assert {"stands", "barred", "unallocated"} <= set(kinds)
-    assert town.counts["number_tables_swapped"] > 3
-    assert town.counts["number_tables_refused"] > 3
+    assert rig.counts["number_tables_swapped"] > 3
+    assert rig.counts["number_tables_refused"] > 3
 
 
 def test_nothing_of_it_is_loaded_while_it_is_off() -> None:
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -6,16 +6,16 @@
 
 import pytest
 
-from wickstep.operation import calls, draining, figures
-from wickstep.operation.draining import MS, PLANS, Connection, closes, refuses
-from wickstep.operation.mode import TABLE, Event, Mode, State
+from wickstep.operation import commands, draining, metrics
+from wickstep.operation.draining import DRAIN_PLANS, MS, Connection, should_close, should_refuse
+from wickstep.operation.mode import TRANSITIONS, Event, Mode, State
 
 SECOND = 1000 * MS
 STAYS, ENDS = (State.SERVING, State.PAUSED), (State.STOPPING, State.HANDING_OVER)
 
 
 def test_every_event_has_its_step_in_every_state() -> None:
-    assert set(TABLE) == set(itertools.product(State, Event))
+    assert set(TRANSITIONS) == set(itertools.product(State, Event))
 
 
 @pytest.mark.parametrize(
@@ -30,28 +30,34 @@
         ([Event.HANGUP], State.SERVING, True),
         ([Event.TERM], State.STOPPING, True),
         ([Event.PAUSE, Event.TERM], State.STOPPING, True),
-        ([Event.PAUSE, Event.RELIEVED], State.HANDING_OVER, True),
+        ([Event.PAUSE, Event.HAND_OVER], State.HANDING_OVER, True),
         ([Event.TERM, Event.TERM], State.STOPPING, False),
         ([Event.TERM, Event.RESUME], State.STOPPING, False),  # no way back once the kill is on its way
-        ([Event.RELIEVED, Event.PAUSE], State.HANDING_OVER, False),
-        ([Event.RELIEVED, Event.TERM], State.HANDING_OVER, False),
+        ([Event.HAND_OVER, Event.PAUSE], State.HANDING_OVER, False),
+        ([Event.HAND_OVER, Event.TERM], State.HANDING_OVER, False),
         ([Event.TERM, Event.HANGUP], State.STOPPING, False),
     ],
 )
 def test_states_follow_the_table(events: list[Event], state: State, granted: bool) -> None:
     mode = Mode()
-    steps = [mode.tell(event) for event in events]
-    assert (mode.state, steps[-1].granted) == (state, granted)
-    assert mode.ending == (state in ENDS)
+    steps = [mode.handle(event) for event in events]
+    assert (mode.state, steps[-1].is_accepted) == (state, granted)
+    assert mode.is_ending == (state in ENDS)
 
 
-IDLE = Connection(calls=0, unread=False, caller=True, tester=False, quiet=0)
-BUSY = Connection(calls=1, unread=False, caller=True, tester=False, quiet=9 * SECOND)
-SPEAKING = Connection(calls=0, unread=True, caller=True, tester=False, quiet=0)
-LAST = Connection(calls=0, unread=False, caller=True, tester=False, quiet=0, last=True)
-NEW = Connection(calls=0, unread=False, caller=False, tester=False, quiet=100 * MS)
-SILENT = Connection(calls=0, unread=False, caller=False, tester=False, quiet=draining.STRANGER)
-FRONT = Connection(calls=0, unread=False, caller=False, tester=True, quiet=draining.STRANGER)
+IDLE = Connection(calls=0, has_unread=False, carried_calls=True, sent_tests=False, idle=0)
+BUSY = Connection(calls=1, has_unread=False, carried_calls=True, sent_tests=False, idle=9 * SECOND)
+SPEAKING = Connection(calls=0, has_unread=True, carried_calls=True, sent_tests=False, idle=0)
+LAST = Connection(
+    calls=0, has_unread=False, carried_calls=True, sent_tests=False, idle=0, keeps_releases=True
+)
+NEW = Connection(calls=0, has_unread=False, carried_calls=False, sent_tests=False, idle=100 * MS)
+SILENT = Connection(
+    calls=0, has_unread=False, carried_calls=False, sent_tests=False, idle=draining.MIN_IDLE_UNUSED
+)
+FRONT = Connection(
+    calls=0, has_unread=False, carried_calls=False, sent_tests=True, idle=draining.MIN_IDLE_UNUSED
+)
 
 
 @pytest.mark.parametrize(
@@ -60,10 +66,10 @@
         (State.SERVING, 9 * SECOND, IDLE, False),
         (State.STOPPING, 9 * SECOND, IDLE, False),
         (State.PAUSED, 0, IDLE, False),  # the front has not heard: its callers would only come again
-        (State.PAUSED, draining.FRONT_TOLD, IDLE, True),
+        (State.PAUSED, draining.HEALTH_CHECK_DELAY, IDLE, True),
         (State.PAUSED, 9 * SECOND, BUSY, False),
         (State.PAUSED, 3 * SECOND, LAST, False),
-        (State.PAUSED, draining.LAST_MOST, LAST, True),
+        (State.PAUSED, draining.MAX_KEEP_LAST, LAST, True),
         (State.PAUSED, 9 * SECOND, SPEAKING, False),
         (State.PAUSED, SECOND, NEW, False),
         (State.PAUSED, SECOND, SILENT, True),
@@ -75,24 +81,24 @@
 def test_connections_go_when_nothing_waits_on_them(
     state: State, since: int, connection: Connection, closed: bool
 ) -> None:
-    assert closes(PLANS[state], since, connection) is closed
+    assert should_close(DRAIN_PLANS[state], since, connection) is closed
 
 
 def test_nothing_younger_than_two_seconds_is_held_four_seconds_after_a_pause() -> None:
     """Whatever keeps coming on a busy connection is turned away well before."""
-    assert not refuses(PLANS[State.PAUSED], SECOND)
-    assert refuses(PLANS[State.PAUSED], 2 * SECOND - 1)
-    assert not refuses(PLANS[State.SERVING], 9 * SECOND)
+    assert not should_refuse(DRAIN_PLANS[State.PAUSED], SECOND)
+    assert should_refuse(DRAIN_PLANS[State.PAUSED], 2 * SECOND - 1)
+    assert not should_refuse(DRAIN_PLANS[State.SERVING], 9 * SECOND)
 
 
 def test_the_figures_are_written_under_their_names() -> None:
-    tally = figures.Tally(("voice", 'vi"deo'))
-    tally.ended(0, "stands")
-    tally.ended(0, "refused")
-    tally.ended(1, "turned_away")
+    tally = metrics.ResultCounts(("voice", 'vi"deo'))
+    tally.count_result(0, "stands")
+    tally.count_result(0, "refused")
+    tally.count_result(1, "turned_away")
     for kind in ("failed", "no_route", "malformed"):
-        tally.ended(1, kind)
-    text = figures.written(tally, {figures.FORWARDS: 7, figures.OUTSTANDING: 2})
+        tally.count_result(1, kind)
+    text = metrics.format_metrics(tally, {metrics.FORWARDS: 7, metrics.OUTSTANDING: 2})
     assert text.splitlines() == [
         'svc_results{service="voice",disposition="succeeded"} 1',
         'svc_results{service="voice",disposition="declined"} 1',
@@ -121,8 +127,10 @@
 )
 def test_each_call_has_its_reply(line: bytes, said: str) -> None:
     mode = Mode()
-    desk = calls.Desk(lambda: (mode.state is State.SERVING, mode.state.value), lambda: "a 1\n", mode.tell)
-    reply = calls.reply(line, desk)
+    desk = commands.CommandHandlers(
+        lambda: (mode.state is State.SERVING, mode.state.value), lambda: "a 1\n", mode.handle
+    )
+    reply = commands.make_reply(line, desk)
     assert reply.startswith(said)
     assert reply.endswith("\n")
     assert reply.count("\n") == said.count("\n") + 1
@@ -133,10 +141,10 @@
     [(b"STATUS\n", b"STATUS"), (b"STATUS\r\nmore", b"STATUS"), (b"STAT", None), (b"", None)],
 )
 def test_a_line_is_whole_at_its_end(heard: bytes, line: bytes | None) -> None:
-    assert calls.line_in(heard) == line
+    assert commands.parse_line(heard) == line
 
 
 @pytest.mark.parametrize("end", [b"", b"\n"])
 def test_an_endless_line_is_none(end: bytes) -> None:
     with pytest.raises(ValueError, match="256"):
-        calls.line_in(b"x" * calls.LINE_MOST + b"x" + end)
+        commands.parse_line(b"x" * commands.MAX_LINE + b"x" + end)
--- a/tests/test_operation_stories.py
+++ b/tests/test_operation_stories.py
@@ -11,30 +11,30 @@
 import pytest
 from click.testing import CliRunner
 
-from wickstep.__main__ import NOBODY, main
+from wickstep.__main__ import EXIT_NO_ANSWER, main
 from wickstep.net import Answer, Note, Reason, Release, SetUp, Test, TestResult, codec, links
 from wickstep.net import softswitch as module
-from wickstep.operation import draining, front
+from wickstep.operation import draining, operator_server
 from wickstep.operation.mode import State
 
-from .test_crossings import Held
-from .test_softswitch import PATIENCE, Peer, Server, Town, line, stands, wait_for
+from .test_crossings import PausedLoop
+from .test_softswitch import TIMEOUT_S, Peer, Rig, Server, list_line, set_up_call, wait_for
 
 HOW = ("succeeded", "declined", "aborted")
 
 
-class Manned(Town):
+class Manned(Rig):
     """A softswitch with an operators' address."""
 
     @property
     def operators(self) -> str:
         assert self.switch is not None
-        assert self.switch.operation.front is not None
-        host, port = self.switch.operation.front.where
+        assert self.switch.operation.operator_server is not None
+        host, port = self.switch.operation.operator_server.address
         return f"{host}:{port}"
 
     def ask(self, call: str) -> list[str]:
-        return front.ask(self.operators, call, PATIENCE)
+        return operator_server.send_command(self.operators, call, TIMEOUT_S)
 
     def figure(self, pattern: str) -> int:
         found = [re.fullmatch(pattern + r" (\d+)", line) for line in self.ask("METRICS")]
@@ -48,85 +48,85 @@
 
 
 @pytest.fixture
-def town(monkeypatch: pytest.MonkeyPatch) -> Iterator[Manned]:
-    monkeypatch.setattr(module, "NOTICE", 0)
+def rig(monkeypatch: pytest.MonkeyPatch) -> Iterator[Manned]:
+    monkeypatch.setattr(module, "MIN_STOP_TIME", 0)
     monkeypatch.setenv("ROUTER_OPERATOR", "127.0.0.1:0")
     made = Manned()
     yield made
     made.stop()
     assert made.switch is not None
-    assert made.switch.floor.counts["faults"] == 0
+    assert made.switch.shared.counters["faults"] == 0
 
 
 One = tuple[Manned, Server, Peer, Peer]
 
 
 @pytest.fixture
-def one(town: Manned) -> One:
+def one(rig: Manned) -> One:
     server = Server()
-    town.open(line(server, "s-1"))
-    return town, server, server.accept(), town.caller()
+    rig.open(list_line(server, "s-1"))
+    return rig, server, server.accept(), rig.caller()
 
 
-def test_status_says_whether_a_set_up_server_is_known(town: Manned) -> None:
-    town.open()
-    assert town.ask("STATUS")[0].startswith("FAILURE starting")
+def test_status_says_whether_a_set_up_server_is_known(rig: Manned) -> None:
+    rig.open()
+    assert rig.ask("STATUS")[0].startswith("FAILURE starting")
     server = Server()
-    town.bulletin.tell(line(server, "s-1"), whole=True)
-    wait_for(lambda: town.ask("STATUS") == ["SUCCESS serving"])
+    rig.bulletin.tell(list_line(server, "s-1"), whole=True)
+    wait_for(lambda: rig.ask("STATUS") == ["SUCCESS serving"])
 
 
 def test_each_request_counts_once_by_class_and_disposition(one: One) -> None:
-    town, _, trunk, caller = one
-    stood = stands(town, trunk, caller)
-    failed = town.call(caller)
+    rig, _, trunk, caller = one
+    stood = set_up_call(rig, trunk, caller)
+    failed = rig.call(caller)
     for _ in range(2):
         trunk.hear(SetUp, failed)
         trunk.say(Release(failed, Reason.FAULT))
     caller.hear(Release, failed)
-    refused = town.call(caller, klass="video")
+    refused = rig.call(caller, klass="video")
     trunk.hear(SetUp, refused)
-    assert town.figure("svc_outstanding") == 2
+    assert rig.figure("svc_outstanding") == 2
     trunk.say(Release(refused, Reason.BUSY, Note.LINES_BUSY))
     caller.hear(Release, refused)
-    left = town.call(caller)  # its caller hears no end of it: no disposition
+    left = rig.call(caller)  # its caller hears no end of it: no disposition
     trunk.hear(SetUp, left)
     caller.say(Release(left, Reason.CLEARED), SetUp(0xBAD, "voice", 0, "7", b"offer"))  # no wait: nonsense
     caller.hear(Release, 0xBAD)
-    assert [town.figure(f'svc_results{{service="voice",disposition="{how}"}}') for how in HOW] == [1, 0, 2]
-    assert [town.figure(f'svc_results{{service="video",disposition="{how}"}}') for how in HOW] == [0, 1, 0]
-    assert town.figure("svc_forwards") == 5
-    assert town.figure("svc_outstanding") == 1  # it stands
+    assert [rig.figure(f'svc_results{{service="voice",disposition="{how}"}}') for how in HOW] == [1, 0, 2]
+    assert [rig.figure(f'svc_results{{service="video",disposition="{how}"}}') for how in HOW] == [0, 1, 0]
+    assert rig.figure("svc_forwards") == 5
+    assert rig.figure("svc_outstanding") == 1  # it stands
     trunk.say(Release(stood, Reason.CLEARED))
-    wait_for(lambda: town.figure("svc_outstanding") == 0)
-    assert town.figure("svc_discovered") == 1
-    assert town.ask("METRICS")[-1] == "EOT"
+    wait_for(lambda: rig.figure("svc_outstanding") == 0)
+    assert rig.figure("svc_discovered") == 1
+    assert rig.ask("METRICS")[-1] == "EOT"
 
 
 def test_a_server_that_is_passed_over_is_ejected(one: One) -> None:
-    town, _, trunk, caller = one
-    assert town.figure("svc_ejected") == 0
-    call = town.call(caller)
+    rig, _, trunk, caller = one
+    assert rig.figure("svc_ejected") == 0
+    call = rig.call(caller)
     for _ in range(2):
         trunk.hear(SetUp, call)
         trunk.say(Release(call, Reason.FULL, Note.OVERLOAD))
-    wait_for(lambda: town.figure("svc_ejected") == 1)
+    wait_for(lambda: rig.figure("svc_ejected") == 1)
 
 
 def test_paused_it_answers_what_it_has_and_sends_callers_away(
     one: One, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(draining, "STRANGER", 0)
-    town, _, trunk, busy = one
-    idle, tester = town.caller(), town.caller()
-    released, hung_up = stands(town, trunk, idle), stands(town, trunk, idle)
-    call = town.call(busy)
+    monkeypatch.setattr(draining, "MIN_IDLE_UNUSED", 0)
+    rig, _, trunk, busy = one
+    idle, tester = rig.caller(), rig.caller()
+    released, hung_up = set_up_call(rig, trunk, idle), set_up_call(rig, trunk, idle)
+    call = rig.call(busy)
     trunk.hear(SetUp, call)
-    assert town.ready(tester)
-    assert town.ask("PAUSE") == ["SUCCESS draining"]
-    assert town.ask("PAUSE") == ["SUCCESS drained already"]
-    assert not town.ready(tester)
-    assert town.ask("STATUS") == ["FAILURE paused"]
+    assert rig.ready(tester)
+    assert rig.ask("PAUSE") == ["SUCCESS draining"]
+    assert rig.ask("PAUSE") == ["SUCCESS drained already"]
+    assert not rig.ready(tester)
+    assert rig.ask("STATUS") == ["FAILURE paused"]
     idle.say(Release(hung_up, Reason.CLEARED))
     trunk.say(Release(released, Reason.CLEARED))
     idle.hear(Release, released)  # its caller would not come again for it
@@ -136,26 +136,28 @@
     trunk.say(Release(call, Reason.CLEARED))
     busy.hear(Release, call)  # and told of its end,
     assert busy.ends()  # and then its connection goes
-    with Held(town):  # or, silent for no time at all, it might be sent away between its connect and its call
-        newcomer = town.caller()
-        late = town.call(newcomer)
+    with PausedLoop(
+        rig
+    ):  # or, silent for no time at all, it might be sent away between its connect and its call
+        newcomer = rig.caller()
+        late = rig.call(newcomer)
     trunk.hear(SetUp, late)  # it has come before the front knew
     trunk.say(Answer(late, b"accept"))
     newcomer.hear(Answer, late)
-    assert town.ask("RESUME") == ["SUCCESS serving"]
-    assert town.ready(town.caller())
-    stands(town, trunk, town.caller())
+    assert rig.ask("RESUME") == ["SUCCESS serving"]
+    assert rig.ready(rig.caller())
+    set_up_call(rig, trunk, rig.caller())
 
 
 def test_a_busy_connection_comes_to_rest_while_paused(one: One, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setitem(draining.PLANS, State.PAUSED, draining.Plan(0, 0))
-    town, _, trunk, busy = one
-    call = town.call(busy)
+    monkeypatch.setitem(draining.DRAIN_PLANS, State.PAUSED, draining.DrainPlan(0, 0))
+    rig, _, trunk, busy = one
+    call = rig.call(busy)
     trunk.hear(SetUp, call)
-    town.ask("PAUSE")
-    assert town.switch is not None
-    wait_for(lambda: town.switch is not None and town.switch.operation.seen is State.PAUSED)
-    refused = busy.hear(Release, town.call(busy))
+    rig.ask("PAUSE")
+    assert rig.switch is not None
+    wait_for(lambda: rig.switch is not None and rig.switch.operation.applied_state is State.PAUSED)
+    refused = busy.hear(Release, rig.call(busy))
     assert refused.reason is Reason.CONGESTED
     assert refused.stay_away_ms > 0
     trunk.say(Answer(call, b"accept"))
@@ -165,9 +167,9 @@
 
 
 def test_a_pause_is_no_bar_to_a_stop(one: One) -> None:
-    town, *_ = one
-    town.ask("PAUSE")
-    town.stop()
+    rig, *_ = one
+    rig.ask("PAUSE")
+    rig.stop()
 
 
 @pytest.mark.parametrize(
@@ -183,58 +185,58 @@
 def test_bad_calls_are_refused_in_time(
     one: One, monkeypatch: pytest.MonkeyPatch, heard: bytes, said: bytes
 ) -> None:
-    monkeypatch.setattr(front, "LINE_S", 0.3)
-    town, *_ = one
-    with socket.create_connection(links.address(town.operators), timeout=PATIENCE) as sock:
+    monkeypatch.setattr(operator_server, "LINE_S", 0.3)
+    rig, *_ = one
+    with socket.create_connection(links.parse_address(rig.operators), timeout=TIMEOUT_S) as sock:
         sock.sendall(heard)
         assert sock.recv(200).startswith(said)
-    assert town.ask("STATUS") == ["SUCCESS serving"]
+    assert rig.ask("STATUS") == ["SUCCESS serving"]
 
 
 def test_hundreds_that_stay_keep_nobody_from_an_answer(one: One) -> None:
-    town, _, trunk, _ = one
-    where = links.address(town.operators)
-    staying = [socket.create_connection(where, timeout=PATIENCE) for _ in range(300)]
+    rig, _, trunk, _ = one
+    where = links.parse_address(rig.operators)
+    staying = [socket.create_connection(where, timeout=TIMEOUT_S) for _ in range(300)]
     try:
         for sock in staying[::2]:
             sock.send(b"STAT")
         before = time.monotonic()
-        assert town.ask("STATUS") == ["SUCCESS serving"]
+        assert rig.ask("STATUS") == ["SUCCESS serving"]
         assert time.monotonic() - before < 1
-        assert town.switch is not None
-        assert town.switch.operation.front is not None
-        assert len(town.switch.operation.front._visitors) <= front.HELD_MOST
-        stands(town, trunk, town.caller())
+        assert rig.switch is not None
+        assert rig.switch.operation.operator_server is not None
+        assert len(rig.switch.operation.operator_server._connections) <= operator_server.MAX_CONNECTIONS
+        set_up_call(rig, trunk, rig.caller())
     finally:
         for sock in staying:
             sock.close()
 
 
 def test_the_answer_does_not_wait_for_the_loop(one: One) -> None:
-    town, *_ = one
-    assert town.switch is not None
-    held = town.switch.floor
-    held.at(held.now, lambda: time.sleep(1.5))  # the loop is busy
+    rig, *_ = one
+    assert rig.switch is not None
+    held = rig.switch.shared
+    held.schedule(held.now, lambda: time.sleep(1.5))  # the loop is busy
     time.sleep(0.3)
     before = time.monotonic()
-    assert town.ask("STATUS") == ["SUCCESS serving"]
-    assert town.ask("METRICS")[-1] == "EOT"
-    assert town.ask("PAUSE") == ["SUCCESS draining"]
-    assert town.ask("STATUS") == ["FAILURE paused"]
+    assert rig.ask("STATUS") == ["SUCCESS serving"]
+    assert rig.ask("METRICS")[-1] == "EOT"
+    assert rig.ask("PAUSE") == ["SUCCESS draining"]
+    assert rig.ask("STATUS") == ["FAILURE paused"]
     assert time.monotonic() - before < 1
 
 
-def test_without_an_address_nothing_listens(town: Manned, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_without_an_address_nothing_listens(rig: Manned, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.delenv("ROUTER_OPERATOR")
-    town.open(line(Server(), "s-1"))
-    assert town.switch is not None
-    assert town.switch.operation.front is None
+    rig.open(list_line(Server(), "s-1"))
+    assert rig.switch is not None
+    assert rig.switch.operation.operator_server is None
 
 
 def test_the_commands_say_it_by_exit_code(one: One) -> None:
-    town, *_ = one
+    rig, *_ = one
     run = CliRunner()
-    asked = {"ROUTER_OPERATOR": town.operators}
+    asked = {"ROUTER_OPERATOR": rig.operators}
     for command, code, text in [
         ("status", 0, "serving"),
         ("metrics", 0, 'svc_results{service="voice",disposition="succeeded"} 0'),
@@ -247,32 +249,32 @@
     assert "EOT" not in run.invoke(main, ["metrics"], env=asked).output
     nobody = Server()
     nobody.sock.close()
-    assert run.invoke(main, ["status", "--at", nobody.dial]).exit_code == NOBODY
+    assert run.invoke(main, ["status", "--at", nobody.dial]).exit_code == EXIT_NO_ANSWER
 
 
 def test_an_inherited_socket_is_shared_and_outlives_its_process(
-    town: Manned, monkeypatch: pytest.MonkeyPatch
+    rig: Manned, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     held = socket.create_server(("127.0.0.1", 0))
     monkeypatch.setenv("ROUTER_ACCEPT_FD", str(os.dup(held.fileno())))
     server = Server()
-    town.open(line(server, "s-1"))
-    trunk, caller = server.accept(), town.caller()
+    rig.open(list_line(server, "s-1"))
+    trunk, caller = server.accept(), rig.caller()
     assert caller.sock.getpeername() == held.getsockname()
-    stands(town, trunk, caller)
-    assert town.switch is not None
-    town.switch.listener.close()
-    wait_for(lambda: town.switch is not None and town.switch.listener._sock.fileno() < 0)
-    left = socket.create_connection(held.getsockname(), timeout=PATIENCE)  # it waits there for a successor
-    held.settimeout(PATIENCE)
+    set_up_call(rig, trunk, caller)
+    assert rig.switch is not None
+    rig.switch.listener.close()
+    wait_for(lambda: rig.switch is not None and rig.switch.listener._sock.fileno() < 0)
+    left = socket.create_connection(held.getsockname(), timeout=TIMEOUT_S)  # it waits there for a successor
+    held.settimeout(TIMEOUT_S)
     held.accept()[0].close()
     left.close()
     held.close()
 
 
 def test_a_set_up_written_over_two_seconds_is_served_and_half_a_one_is_not_held(one: One) -> None:
-    town, _, trunk, slow = one
-    half, before = town.caller(), time.monotonic()
+    rig, _, trunk, slow = one
+    half, before = rig.caller(), time.monotonic()
     whole = codec.encode(SetUp(0x510, "voice", 5000, "7", b"offer", first_choice=0))
     half.sock.sendall(whole[:9])
     for piece in (whole[:1], whole[1:20], whole[20:]):
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -13,40 +13,40 @@
 
 from wickstep import interface as api
 from wickstep.net import Reason
-from wickstep.operation import bequest
-from wickstep.operation.beside import Beside, Departed
+from wickstep.operation import handover
+from wickstep.operation.process_group import HandoverReceived, ProcessGroup
 from wickstep.recovery import envelope, learned
-from wickstep.recovery.learned import HALF, SECOND, Learned, Record
+from wickstep.recovery.learned import HALF_LIFE, SECOND, LearnedState, ServerRecord
 
-from .helpers import START, Host, entry
+from .helpers import START, Host, server_entry
 
-WHOLE = envelope.seal("learned", {"at": 7, "loss": 0.25, "servers": []})
+WHOLE = envelope.pack("learned", {"at": 7, "loss": 0.25, "servers": []})
 
 
 @given(cut=st.integers(0, len(WHOLE) - 1))
 def test_a_file_cut_anywhere_is_spoilt(cut: int) -> None:
-    with pytest.raises(envelope.Spoilt):
-        envelope.unseal("learned", WHOLE[:cut])
+    with pytest.raises(envelope.CorruptFile):
+        envelope.unpack("learned", WHOLE[:cut])
 
 
 @given(at=st.integers(0, len(WHOLE) - 1), flip=st.integers(1, 255))
 def test_a_file_with_any_byte_changed_is_spoilt(at: int, flip: int) -> None:
-    with pytest.raises(envelope.Spoilt):
-        envelope.unseal("learned", WHOLE[:at] + bytes([WHOLE[at] ^ flip]) + WHOLE[at + 1 :])
+    with pytest.raises(envelope.CorruptFile):
+        envelope.unpack("learned", WHOLE[:at] + bytes([WHOLE[at] ^ flip]) + WHOLE[at + 1 :])
 
 
 @given(st.binary(max_size=200))
 def test_noise_is_spoilt_and_raises_nothing_else(noise: bytes) -> None:
-    with pytest.raises(envelope.Spoilt):
-        envelope.unseal("learned", noise)
+    with pytest.raises(envelope.CorruptFile):
+        envelope.unpack("learned", noise)
 
 
 def test_another_kind_or_version_is_spoilt(monkeypatch: pytest.MonkeyPatch) -> None:
-    with pytest.raises(envelope.Spoilt, match="no left"):
-        envelope.unseal("left", WHOLE)
+    with pytest.raises(envelope.CorruptFile, match="no left"):
+        envelope.unpack("left", WHOLE)
     monkeypatch.setattr(envelope, "VERSION", 2)
-    with pytest.raises(envelope.Spoilt, match="version"):
-        envelope.unseal("learned", WHOLE)
+    with pytest.raises(envelope.CorruptFile, match="version"):
+        envelope.unpack("learned", WHOLE)
 
 
 def test_a_file_is_replaced_whole_and_read_back(tmp_path: Path) -> None:
@@ -74,7 +74,7 @@
             os.mkfifo(path)  # opened to be read, it would be waited for for ever
         case "unreadable":
             path.write_bytes(b"\xff\x00")
-    with pytest.raises(envelope.Spoilt):
+    with pytest.raises(envelope.CorruptFile):
         envelope.read(path, "learned", 1000)
 
 
@@ -85,34 +85,42 @@
 
 # What is learned.
 
-RECORD = Record("s0", 0, share=0.25, rho=2.0, window=9.0, base=4e6, mark=SECOND, fails=3, cold=0)
-BORN = {"s0": 0, "s1": 0}
+RECORD = ServerRecord(
+    "s0", 0, share=0.25, rho=2.0, window=9.0, min_time=4e6, mark_left=SECOND, failures=3, cold_age=0
+)
+BORN_MS = {"s0": 0, "s1": 0}
 
 
-def taught(**changes: Any) -> Host:
+def host_with_history(**changes: Any) -> Host:
     """A controller that has learned a good deal."""
     host = Host(servers=2)
-    server = host.brain.servers["s0"]
-    server.share, server.rho, server.window, server.base = 0.25, 2.0, 9.0, 4e6
-    server.mark_until, server.fails = host.now + SECOND, 3
+    server = host.controller.servers["s0"]
+    server.share, server.rho, server.window, server.min_time = 0.25, 2.0, 9.0, 4e6
+    server.mark_until, server.failures = host.now + SECOND, 3
     for name, value in changes.items():
         setattr(server, name, value)
     return host
 
 
 def test_what_was_learned_is_kept_written_read_and_given_back() -> None:
-    host = taught()
-    host.brain.loss = 0.5
-    kept = learned.kept(host.brain, BORN, host.now, 10 * SECOND)
+    host = host_with_history()
+    host.controller.loss = 0.5
+    kept = learned.take_snapshot(host.controller, BORN_MS, host.now, 10 * SECOND)
     assert kept.servers[0] == RECORD
-    assert learned.read(learned.written(kept)) == kept
+    assert learned.decode(learned.encode(kept)) == kept
     new = Host(servers=2)
-    assert learned.adopt(new.brain, kept, BORN, new.now, 10 * SECOND) == 2
-    server = new.brain.servers["s0"]
-    assert (server.share, server.rho, server.window, server.base, server.fails) == (0.25, 2.0, 9.0, 4e6, 3)
+    assert learned.restore(new.controller, kept, BORN_MS, new.now, 10 * SECOND) == 2
+    server = new.controller.servers["s0"]
+    assert (server.share, server.rho, server.window, server.min_time, server.failures) == (
+        0.25,
+        2.0,
+        9.0,
+        4e6,
+        3,
+    )
     assert server.mark_until == new.now + SECOND
-    assert not new.brain.unmarked(server)
-    assert new.brain.loss == 0.5
+    assert not new.controller.may_try(server)
+    assert new.controller.loss == 0.5
 
 
 @pytest.mark.parametrize(
@@ -120,71 +128,71 @@
     [
         (0, 0.25, 2.0, 9.0, 4e6, True),
         (SECOND // 2, None, None, None, 4e6, True),
-        (HALF, 0.625, 1.0, 5.5, 4e6, False),  # a mark ends when it would have ended
-        (2 * HALF, 0.8125, 0.5, 3.75, 4e6, False),
-        (5 * HALF, 1.0, None, 2.0, 4e6, False),  # down to nothing
-        (learned.BASE_KEPT, 1.0, None, 2.0, 0.0, False),
+        (HALF_LIFE, 0.625, 1.0, 5.5, 4e6, False),  # a mark ends when it would have ended
+        (2 * HALF_LIFE, 0.8125, 0.5, 3.75, 4e6, False),
+        (5 * HALF_LIFE, 1.0, None, 2.0, 4e6, False),  # down to nothing
+        (learned.MAX_MIN_TIME_AGE, 1.0, None, 2.0, 0.0, False),
     ],
 )
 def test_old_knowledge_counts_less(
     age: int, share: float | None, rho: float | None, window: float | None, base: float, marked: bool
 ) -> None:
     host = Host(servers=1)
-    learned.adopt(host.brain, Learned(0, 0.0, (RECORD,)), BORN, host.now, age)
-    server = host.brain.servers["s0"]
+    learned.restore(host.controller, LearnedState(0, 0.0, (RECORD,)), BORN_MS, host.now, age)
+    server = host.controller.servers["s0"]
     if share is not None:
         assert server.share == share
         assert server.window == window
         assert server.rho == rho
-    assert server.base == base
-    assert (not host.brain.unmarked(server)) is marked
+    assert server.min_time == base
+    assert (not host.controller.may_try(server)) is marked
 
 
 @given(st.integers(0, 100 * SECOND), st.integers(0, 100 * SECOND))
 def test_the_weight_only_falls_with_age(one: int, other: int) -> None:
     younger, older = sorted((one, other))
-    assert 1 >= learned.weighs(younger) >= learned.weighs(older) >= 0
+    assert 1 >= learned.weight_at_age(younger) >= learned.weight_at_age(older) >= 0
 
 
 @pytest.mark.parametrize(
     ("record", "listed"),
     [
-        (replace(RECORD, host="s9"), BORN),  # it is on no list any more
-        (replace(RECORD, born_ms=5), BORN),  # another process stands there now
+        (replace(RECORD, host="s9"), BORN_MS),  # it is on no list any more
+        (replace(RECORD, born_ms=5), BORN_MS),  # another process stands there now
         (RECORD, {"s0": 5}),
     ],
 )
-def test_another_process_inherits_nothing(record: Record, listed: dict[str, int]) -> None:
+def test_another_process_inherits_nothing(record: ServerRecord, listed: dict[str, int]) -> None:
     host = Host(servers=1)
-    assert learned.adopt(host.brain, Learned(0, 0.0, (record,)), listed, host.now, 0) == 0
-    assert host.brain.servers["s0"].share == 1.0
-    assert "s9" not in host.brain.servers
+    assert learned.restore(host.controller, LearnedState(0, 0.0, (record,)), listed, host.now, 0) == 0
+    assert host.controller.servers["s0"].share == 1.0
+    assert "s9" not in host.controller.servers
 
 
 def test_no_record_says_which_servers_there_are() -> None:
     host = Host(servers=1)
-    host.listing(entry(0, api.ServerState.DRAINING))
-    learned.adopt(host.brain, Learned(0, 0.0, (RECORD,)), BORN, host.now, 0)
-    assert host.brain.active == []
-    assert host.call(1)  # refused at once
+    host.update_list(server_entry(0, api.ServerState.DRAINING))
+    learned.restore(host.controller, LearnedState(0, 0.0, (RECORD,)), BORN_MS, host.now, 0)
+    assert host.controller.active == []
+    assert host.new_call(1)  # refused at once
     assert not host.sends()
 
 
 def test_a_server_that_is_cold_stays_cold() -> None:
-    host = taught(cold_since=START - 3 * SECOND)
-    kept = learned.kept(host.brain, BORN, host.now, 0)
+    host = host_with_history(cold_since=START - 3 * SECOND)
+    kept = learned.take_snapshot(host.controller, BORN_MS, host.now, 0)
     new = Host(servers=2)
-    learned.adopt(new.brain, kept, BORN, new.now, SECOND)
-    assert new.brain.servers["s0"].cold_since == new.now - 4 * SECOND
+    learned.restore(new.controller, kept, BORN_MS, new.now, SECOND)
+    assert new.controller.servers["s0"].cold_since == new.now - 4 * SECOND
 
 
 def test_a_record_from_the_future_is_not_used() -> None:
     host = Host(servers=1)
-    with pytest.raises(learned.Unusable, match="from now"):
-        learned.adopt(host.brain, Learned(9 * SECOND, 0.0, (RECORD,)), BORN, host.now, 0)
+    with pytest.raises(learned.InvalidState, match="from now"):
+        learned.restore(host.controller, LearnedState(9 * SECOND, 0.0, (RECORD,)), BORN_MS, host.now, 0)
 
 
-GOOD = learned.written(Learned(0, 0.0, (RECORD,)))
+GOOD = learned.encode(LearnedState(0, 0.0, (RECORD,)))
 
 
 @pytest.mark.parametrize(
@@ -206,20 +214,20 @@
     ],
 )
 def test_a_record_that_makes_no_sense_is_unusable(content: Any) -> None:
-    with pytest.raises(learned.Unusable):
-        learned.read(content)
+    with pytest.raises(learned.InvalidState):
+        learned.decode(content)
 
 
 # What a process leaves at its end.
 
 
 def test_calls_and_releases_are_left_within_bounds() -> None:
-    standing = dict.fromkeys(range(1, bequest.CALLS_MOST + 10), "s0")
-    releases = [(number, Reason.CLEARED) for number in range(1, bequest.RELEASES_MOST + 10)]
-    found, told = bequest.read(bequest.written(standing, releases))
-    assert len(found) == bequest.CALLS_MOST
+    standing = dict.fromkeys(range(1, handover.MAX_CALLS + 10), "s0")
+    releases = [(number, Reason.CLEARED) for number in range(1, handover.MAX_RELEASES + 10)]
+    found, told = handover.decode(handover.encode(standing, releases))
+    assert len(found) == handover.MAX_CALLS
     assert max(found) == max(standing)  # the latest: the others are the likeliest to be over
-    assert told == releases[-bequest.RELEASES_MOST :]
+    assert told == releases[-handover.MAX_RELEASES :]
 
 
 @pytest.mark.parametrize(
@@ -235,46 +243,46 @@
     ],
 )
 def test_what_was_left_may_make_no_sense(content: Any) -> None:
-    with pytest.raises(bequest.Unusable):
-        bequest.read(content)
+    with pytest.raises(handover.InvalidHandover):
+        handover.decode(content)
 
 
 def test_calls_left_go_with_their_release_their_server_or_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    table = bequest.Bequest()
+    table = handover.InheritedCalls()
     table.add({1: "a", 2: "a", 3: "b", 4: "b"}, now=0)
     assert table.take(1) == "a"
     assert table.take(1) is None
-    assert table.of("b") == [3, 4]
-    table.add({5: "c"}, now=bequest.KEPT + 1)
+    assert table.take_by_host("b") == [3, 4]
+    table.add({5: "c"}, now=handover.MAX_AGE + 1)
     assert len(table) == 1
-    monkeypatch.setattr(bequest, "CALLS_MOST", 2)
-    table.add({6: "c", 7: "c"}, now=bequest.KEPT + 2)
-    assert table.of("c") == [6, 7]
+    monkeypatch.setattr(handover, "MAX_CALLS", 2)
+    table.add({6: "c", 7: "c"}, now=handover.MAX_AGE + 2)
+    assert table.take_by_host("c") == [6, 7]
 
 
 # Who is there.
 
 
 def test_processes_see_each_other_and_what_one_leaves(tmp_path: Path) -> None:
-    heard: list[Departed] = []
-    old, new = (Beside(tmp_path / "shared", heard.append) for _ in range(2))
+    heard: list[HandoverReceived] = []
+    old, new = (ProcessGroup(tmp_path / "shared", heard.append) for _ in range(2))
     assert old.join()
     assert new.join()
-    old.look()
+    old.scan()
     assert [m.pid for m in new.others] == [os.getpid()]
-    assert not old.successor()
-    new.ready()
-    old.look()
-    assert old.successor()
-    assert not new.successor()
-    old.depart({"some": "calls"})
-    new.look()
+    assert not old.has_successor()
+    new.announce_ready()
+    old.scan()
+    assert old.has_successor()
+    assert not new.has_successor()
+    old.leave({"some": "calls"})
+    new.scan()
     assert heard == []  # it is alive still
     os.close(old._descriptor)
-    new.look()
-    assert heard == [Departed({"some": "calls"})]
+    new.scan()
+    assert heard == [HandoverReceived({"some": "calls"})]
     assert new.others == ()
-    new.look()
+    new.scan()
     assert len(heard) == 1
     os.close(new._descriptor)
 
@@ -291,17 +299,17 @@
         monkeypatch.setattr(os, "geteuid", lambda: 12345)
     else:
         folder = tmp_path / "gone" / "shared"
-    assert not Beside(folder, lambda left: None).join()
+    assert not ProcessGroup(folder, lambda left: None).join()
 
 
 def test_spoilt_files_cost_what_they_would_have_told(tmp_path: Path) -> None:
-    heard: list[Departed] = []
-    new = Beside(tmp_path / "shared", heard.append)
+    heard: list[HandoverReceived] = []
+    new = ProcessGroup(tmp_path / "shared", heard.append)
     assert new.join()
     for name in ("learned", "5-77.life", "5-77.left", "x.life", "-.life"):
         (tmp_path / "shared" / name).write_bytes(b"\x00spoilt")
-    assert new.learned() is None
-    new.look()
+    assert new.load_learned() is None
+    new.scan()
     assert heard == []
     assert new.others == ()
     assert not (tmp_path / "shared" / "5-77.left").exists()
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -15,7 +15,7 @@
 from click.testing import CliRunner
 
 from wickstep.__main__ import main
-from wickstep.forms import BadForm
+from wickstep.forms import KdlError
 from wickstep.rehearsal import judge, report, scenario
 from wickstep.rehearsal.processes import free_ports, own_host
 from wickstep.rehearsal.report import Second
@@ -170,7 +170,7 @@
     ],
 )
 def test_a_bad_script_is_told_where(text: str, why: str) -> None:
-    with pytest.raises(BadForm, match=why):
+    with pytest.raises(KdlError, match=why):
         scenario.read(text)
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -12,7 +12,7 @@
 
 from wickstep import interface as api
 
-from .helpers import LONG, MS, SECOND, Host, entry, sent_to
+from .helpers import LONG, MS, SECOND, Host, sent_servers, server_entry
 
 SLACK = 20 * MS
 FAILURES = [
@@ -51,9 +51,9 @@
     seen: int = 0
 
     def check(self) -> None:
-        for at, action in self.host.log[self.seen :]:
+        for at, action in self.host.action_log[self.seen :]:
             match action:
-                case api.Send(call=call, server=server, limit=limit):
+                case api.Send(call=call, server=server, timeout=limit):
                     assert call in self.deadline, "unknown call"
                     assert call not in self.over, "sent after its end"
                     assert call not in self.out, "two attempts out"
@@ -71,7 +71,7 @@
                 case api.Cancel(call=call, attempt=attempt):
                     assert attempt <= self.attempts.get(call, -1), "cancelled what was never sent"
                     self.cancelled.append((call, attempt))
-        self.seen = len(self.host.log)
+        self.seen = len(self.host.action_log)
         for call, due in self.deadline.items():
             assert call in self.over or self.host.now <= due + SLACK, "call lost"
 
@@ -79,7 +79,7 @@
         server, attempt = self.out.pop(call)
         if outcome in RELEASED:
             self.released[call] = self.host.now + self.host.settings.release_wait
-        self.host.ended(call, server, outcome, attempt, over=call in self.over)
+        self.host.attempt_ended(call, server, outcome, attempt, over=call in self.over)
         self.check()
 
     def cancellations(self) -> None:
@@ -91,7 +91,7 @@
     def pass_time(self, duration: int) -> None:
         stop = self.host.now + duration
         while self.host.now < stop:
-            self.host.run(min(10 * MS, stop - self.host.now))
+            self.host.advance(min(10 * MS, stop - self.host.now))
             for call in [c for c in self.out if self.host.now >= self.deadline[c]]:
                 self.end(call, api.Outcome.TIMEOUT)
             self.check()
@@ -106,12 +106,12 @@
         if kind == "call":
             patience = (300 + 700 * b) * MS
             judge.deadline[count] = host.now + patience
-            host.call(count, klass=a, first=b, patience=patience, repeat=flag)
+            host.new_call(count, klass=a, first=b, max_wait=patience, repeat=flag)
         elif kind == "stand" and waiting:
             call = waiting[a % len(waiting)]
             server, attempt = judge.out.pop(call)
             judge.over.add(call)
-            host.stands(call, server, (20 + 10 * a) * MS, attempt)
+            host.call_stands(call, server, (20 + 10 * a) * MS, attempt)
         elif kind == "fail" and waiting:
             judge.end(waiting[a % len(waiting)], FAILURES[b])
         elif kind == "list":
@@ -122,11 +122,11 @@
             else:
                 judge.away.add(name)
             started = host.now - SECOND if flag else 0
-            host.listing(entry(b % 3, state, started), kind=api.ListKind.CHANGES)
+            host.update_list(server_entry(b % 3, state, started), kind=api.ListKind.CHANGES)
         elif kind == "leave" and waiting:
             call = waiting[a % len(waiting)]
             judge.over.add(call)
-            host.give(api.CallerLeft(call))
+            host.handle(api.CallerLeft(call))
             judge.end(call, api.Outcome.CANCELLED)
         elif kind == "junk":
             junk: list[api.Event] = [
@@ -138,7 +138,7 @@
                     31337, 7, "nowhere", api.Outcome.RESET, -4, True, False, {"wait_ms": float("nan")}
                 ),
             ]
-            host.give(junk[a])
+            host.handle(junk[a])
         elif kind == "wait":
             judge.pass_time(a * MS)
         judge.check()
@@ -157,7 +157,7 @@
 @settings(derandomize=True, deadline=None, max_examples=30)
 @given(st.lists(STEP, max_size=40), st.integers(0, 2**32))
 def test_the_same_events_give_the_same_actions(steps: list[tuple[str, int, int, bool]], seed: int) -> None:
-    assert play(steps, seed).host.log == play(steps, seed).host.log
+    assert play(steps, seed).host.action_log == play(steps, seed).host.action_log
 
 
 @pytest.mark.parametrize(("good", "skew"), [(1.0, 1.0), (0.0, 1.0), (0.5, 3.0), (0.9, 6.0)])
@@ -167,21 +167,21 @@
     hosts = [Host(servers=2, seed=n, proxies=many, classes=(LONG,)) for n in range(many)]
     start, number, sends = hosts[0].now, 0, []
     for host in hosts:
-        host.lines(s0=4000, s1=lines)
-        host.brain.rate = host.brain.servers["s1"].rate = 1.0
-        host.listing(entry(0), entry(1, started=start))
-    rules, capacity = hosts[0].settings, lines * SECOND / LONG.length
+        host.report_lines(s0=4000, s1=lines)
+        host.controller.rate = host.controller.servers["s1"].rate = 1.0
+        host.update_list(server_entry(0), server_entry(1, started=start))
+    rules, capacity = hosts[0].settings, lines * SECOND / LONG.holding_time
     for _ in range(100):  # ten seconds: the ramp
         for host in hosts:
             if dice.random() < min(1.0, 0.25 * skew * (0.2 + 1.6 * dice.random())):
                 number += 1
-                if "s1" in sent_to(host.call(number, first=1)):
+                if "s1" in sent_servers(host.new_call(number, first=1)):
                     sends.append(host.now)
                     if dice.random() < good:
-                        host.stands(number, "s1", took=30 * MS)
+                        host.call_stands(number, "s1", took=30 * MS)
                     else:
-                        host.ended(number, "s1", api.Outcome.FULL)
-            host.run(100 * MS)
+                        host.attempt_ended(number, "s1", api.Outcome.FULL)
+            host.advance(100 * MS)
     assert len(sends) > 0.3 * capacity, "a cold server must be put to work"
     for at in sends[:: max(1, len(sends) // 300)]:
         inside = sum(at <= other < at + rules.fall_window for other in sends)
@@ -192,19 +192,19 @@
 def test_an_unsafe_class_is_not_sent_again_once_it_may_have_run() -> None:
     unsafe = api.CallClass(SECOND, 1.0, 0.2, api.Effect.UNSAFE, None)
     host = Host(classes=(unsafe,))
-    host.call(1)
-    host.ended(1, "s0", api.Outcome.RESET)
-    actions = host.run(3 * SECOND)
+    host.new_call(1)
+    host.attempt_ended(1, "s0", api.Outcome.RESET)
+    actions = host.advance(3 * SECOND)
     assert not [a for a in actions if isinstance(a, api.Send | api.Refuse)]
     assert api.Fail(1) in actions
 
 
 def test_an_empty_list_refuses_and_a_later_one_serves() -> None:
     host = Host()
-    host.listing()
-    assert isinstance(host.call(1)[-1], api.Refuse)
-    host.listing(entry(0), entry(0))
-    assert isinstance(host.call(2)[-1], api.Send)
+    host.update_list()
+    assert isinstance(host.new_call(1)[-1], api.Refuse)
+    host.update_list(server_entry(0), server_entry(0))
+    assert isinstance(host.new_call(2)[-1], api.Send)
 
 
 @pytest.mark.parametrize(
@@ -228,31 +228,31 @@
     hosts = [Host(servers=3, seed=n, ramp_time=14 * SECOND, **changes) for n in range(many)]
     start, number, sends = hosts[0].now, 0, []
     for host in hosts:
-        host.lines(s0=(0, 3000), s2=(0, 300))
+        host.report_lines(s0=(0, 3000), s2=(0, 300))
         if known:
-            host.lines(s1=lines)
-        host.brain.rate = dice.choice((1.0, 3.0, 6.0))
-        host.run(dice.randrange(SECOND // 5))
+            host.report_lines(s1=lines)
+        host.controller.rate = dice.choice((1.0, 3.0, 6.0))
+        host.advance(dice.randrange(SECOND // 5))
     for step in range(1, 101):
         at = start + step * SECOND // 10 + SECOND // 5
         for host in hosts:
-            host.run(at - host.now)
-            if at - start >= told * SECOND and host.brain.servers["s1"].started != start:
-                host.listing(entry(0), entry(1, started=start), entry(2))
-            told_now = host.brain.servers["s1"].started == start
+            host.advance(at - host.now)
+            if at - start >= told * SECOND and host.controller.servers["s1"].started != start:
+                host.update_list(server_entry(0), server_entry(1, started=start), server_entry(2))
+            told_now = host.controller.servers["s1"].started == start
             wanted = not idle[0] * SECOND <= at - start < idle[1] * SECOND
             if told_now and wanted and dice.random() < 0.3:
                 number += 1
-                host.call(number, first=1)
-            for sent, action in host.log:
+                host.new_call(number, first=1)
+            for sent, action in host.action_log:
                 if isinstance(action, api.Send) and action.server == "s1":
                     sends.append(sent)
                     if dice.random() < good:
-                        host.stands(action.call, "s1", took=30 * MS)
+                        host.call_stands(action.call, "s1", took=30 * MS)
                     else:
-                        host.ended(action.call, "s1", api.Outcome.FULL)
-            host.log.clear()
-    rules, capacity = hosts[0].settings, part * lines * SECOND / LONG.length
+                        host.attempt_ended(action.call, "s1", api.Outcome.FULL)
+            host.action_log.clear()
+    rules, capacity = hosts[0].settings, part * lines * SECOND / LONG.holding_time
     least = (0.3 if known else 0.1) * capacity * (10 - max(told, idle[1]))
     assert len(sends) > least, "it must be put to work"
     sends.sort()
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -17,7 +17,7 @@
 from wickstep.net.softswitch import Config
 from wickstep.settings import read_settings
 
-from .test_softswitch import Server, Town, line
+from .test_softswitch import Rig, Server, list_line
 from .test_wire import CONF
 
 GIVEN = {
@@ -41,7 +41,7 @@
 ]  # fmt: skip
 
 
-def changed(key: str, value: Any) -> str:
+def settings_with(key: str, value: Any) -> str:
     """The settings with one value replaced, or taken out."""
     found = json.loads(json.dumps(GIVEN))
     found["settings"]["classes"][0]["name"] = "voice"
@@ -56,7 +56,7 @@
     return json.dumps(found)
 
 
-def refused(text: str, key: str, folder: Path) -> None:
+def assert_refused(text: str, key: str, folder: Path) -> None:
     """A start with these settings ends with one line that names the key, and exit code 2."""
     path = folder / "config.json"
     path.write_text(text)
@@ -69,13 +69,13 @@
 
 @pytest.mark.parametrize("key", NEEDED)
 def test_a_setting_that_is_missing_is_named(key: str, tmp_path: Path) -> None:
-    refused(changed(key, None), key, tmp_path)
+    assert_refused(settings_with(key, None), key, tmp_path)
 
 
 @pytest.mark.parametrize("key", NUMBERS)
 @pytest.mark.parametrize("value", ["many", {"a": 1}, [["x"]]], ids=str)
 def test_a_setting_that_is_no_number_is_named(key: str, value: Any, tmp_path: Path) -> None:
-    refused(changed(key, value), key, tmp_path)
+    assert_refused(settings_with(key, value), key, tmp_path)
 
 
 @pytest.mark.parametrize(
@@ -93,11 +93,14 @@
     ],
 )
 def test_a_setting_out_of_range_is_named(key: str, value: Any, told: str, tmp_path: Path) -> None:
-    refused(changed(key, value), told, tmp_path)
+    assert_refused(settings_with(key, value), told, tmp_path)
 
 
 def test_an_integer_is_read_from_a_float_as_json_writers_have_them() -> None:
-    assert Config.read(changed("settings.classes.0.slo_ns", 1.5e9)).settings.classes[0].aim == 1_500_000_000
+    assert (
+        Config.read(settings_with("settings.classes.0.slo_ns", 1.5e9)).settings.classes[0].aim
+        == 1_500_000_000
+    )
 
 
 # No customer's values.
@@ -192,10 +195,10 @@
 @settings(max_examples=8, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
 @given(deployments())
 def test_a_call_of_any_class_is_served(conf: dict[str, Any]) -> None:
-    place, server = Town(), Server()
+    place, server = Rig(), Server()
     for item in conf["classes"]:
         item["slo_ns"] += 20 * 10**9  # no connection is doubted over a test that is slow
-    place.open(line(server, "s-1"), replaced=conf)
+    place.open(list_line(server, "s-1"), replaced=conf)
     try:
         trunk, caller = server.accept(), place.caller()
         for item in conf["classes"]:
@@ -206,4 +209,4 @@
     finally:
         place.stop()
     assert place.switch is not None
-    assert place.switch.floor.counts["faults"] == 0
+    assert place.switch.shared.counters["faults"] == 0
--- a/tests/test_setup_fields.py
+++ b/tests/test_setup_fields.py
@@ -9,12 +9,11 @@
 import pytest
 
 from wickstep import interface as api
-from wickstep.net import Answer, Malformed, SetUp, codec
+from wickstep.net import Answer, MalformedMessage, SetUp, codec
 from wickstep.net import softswitch as module
 
-from .test_settings import changed as settings_with
-from .test_settings import refused
-from .test_softswitch import Peer, Server, Town, line
+from .test_settings import assert_refused, settings_with
+from .test_softswitch import Peer, Rig, Server, list_line
 
 NONSENSE = [
     b"via:two", b"via:1.5", b"via:nan", b"via:inf", b"via:-2", b"via:1e9999", b"via", b"via:" + b"9" * 5000,
@@ -41,7 +40,7 @@
 )
 def test_advice_and_tenant_are_read(via: bytes, advice: int) -> None:
     found = read(b"dest:2;width:1" + via, "Zürich 1".encode())
-    assert (found.advice, found.tenant, found.passed_over) == (advice, "Zürich 1", 0)
+    assert (found.advised_server, found.tenant, found.ignored_fields) == (advice, "Zürich 1", 0)
     assert (found.first_choice, found.width) == (2, 1)
     assert codec.decode(codec.encode(found)) == found
 
@@ -49,13 +48,18 @@
 @pytest.mark.parametrize("via", NONSENSE, ids=lambda via: repr(via[:12]))
 def test_advice_that_makes_no_sense_is_passed_over(via: bytes) -> None:
     found = read(b"dest:2;" + via + b";again:1")
-    assert (found.first_choice, found.again, found.advice, found.passed_over) == (2, True, -1, 1)
+    assert (found.first_choice, found.after_cut, found.advised_server, found.ignored_fields) == (
+        2,
+        True,
+        -1,
+        1,
+    )
 
 
 @pytest.mark.parametrize("tenant", [b"\xff\xfe", b"a" * 256, b"\x00\xc3", b"a" * 9000], ids=range(4))
 def test_a_tenant_that_makes_no_sense_is_passed_over(tenant: bytes) -> None:
     found = read(b"dest:2;via:1", tenant)
-    assert (found.tenant, found.advice, found.passed_over) == ("", 1, 1)
+    assert (found.tenant, found.advised_server, found.ignored_fields) == ("", 1, 1)
 
 
 @pytest.mark.parametrize(
@@ -64,23 +68,23 @@
      b"via:1;viaduct:x", b"via:x;" * 65],
 )  # fmt: skip
 def test_all_other_figures_are_read_as_strictly_as_before(figures: bytes) -> None:
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedMessage):
         read(figures)
 
 
-Place = tuple[Town, Peer, Peer, list[api.NewCall]]
+Place = tuple[Rig, Peer, Peer, list[api.NewCall]]
 
 
 @pytest.fixture
 def place(monkeypatch: pytest.MonkeyPatch) -> Iterator[Place]:
     """A softswitch that knows two tenants, with what its module is told of calls."""
-    monkeypatch.setattr(module, "NOTICE", 0)
-    town, server = Town(), Server()
+    monkeypatch.setattr(module, "MIN_STOP_TIME", 0)
+    rig, server = Rig(), Server()
     conf = json.loads(settings_with("settings.parties", [{"name": "acme"}, {"name": "Zürich 1"}]))
-    town.open(line(server, "s-1"), replaced=conf["settings"])
-    assert town.switch is not None
+    rig.open(list_line(server, "s-1"), replaced=conf["settings"])
+    assert rig.switch is not None
     told: list[api.NewCall] = []
-    controller = town.switch.route.controller
+    controller = rig.switch.route.controller
     handle = controller.handle
 
     def listens(event: api.Event, now: int) -> api.Actions:
@@ -89,9 +93,9 @@
         return handle(event, now)
 
     monkeypatch.setattr(controller, "handle", listens)
-    yield town, server.accept(), town.caller(), told
-    town.stop()
-    assert town.switch.floor.counts["faults"] == 0
+    yield rig, server.accept(), rig.caller(), told
+    rig.stop()
+    assert rig.switch.shared.counters["faults"] == 0
 
 
 def served(place: Place, figures: bytes, tenant: bytes, call: int) -> SetUp:
@@ -118,22 +122,24 @@
 def test_the_module_is_told_and_the_server_is_not(
     place: Place, figures: bytes, tenant: bytes, want: tuple[int, int], passed_over: int
 ) -> None:
-    town, _, _, told = place
+    rig, _, _, told = place
     sent = served(place, figures, tenant, 7)
     assert sent == SetUp(7, "voice", sent.wait_ms, "7f3a9c21e0b4d655", b"offer")
-    assert [(event.tenant, event.advice, event.callee) for event in told] == [(*want, "7f3a9c21e0b4d655")]
-    assert town.switch is not None
-    assert town.switch.floor.counts["set_up_fields_passed_over"] == passed_over
+    assert [(event.tenant, event.advised_server, event.callee) for event in told] == [
+        (*want, "7f3a9c21e0b4d655")
+    ]
+    assert rig.switch is not None
+    assert rig.switch.shared.counters["set_up_fields_passed_over"] == passed_over
 
 
 def test_nonsense_costs_no_call_on_its_connection_anything(place: Place) -> None:
-    town = place[0]
+    rig = place[0]
     for call, via in enumerate(NONSENSE, 10):
         served(place, via, b"\xff" * 300, call)
-    assert town.switch is not None
-    counts = town.switch.floor.counts
+    assert rig.switch is not None
+    counts = rig.switch.shared.counters
     assert (counts["malformed"], counts["set_up_fields_passed_over"]) == (0, 2 * len(NONSENSE))
 
 
 def test_a_tenant_without_a_name_is_named(tmp_path: Path) -> None:
-    refused(settings_with("settings.parties", [{"quota_per_s": 1.0}]), "parties[0].name", tmp_path)
+    assert_refused(settings_with("settings.parties", [{"quota_per_s": 1.0}]), "parties[0].name", tmp_path)
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from .test_softswitch import PATIENCE, wait_for
+from .test_softswitch import TIMEOUT_S, wait_for
 
 ROOT = Path(__file__).parent.parent
 
@@ -78,7 +78,7 @@
     process, go_on = starting
     process.send_signal(signal.SIGTERM)
     go_on()
-    assert process.wait(PATIENCE) == 0
+    assert process.wait(TIMEOUT_S) == 0
 
 
 @pytest.mark.parametrize(("sent", "code"), [("HUP", 7), ("TERM", -signal.SIGTERM)])
@@ -90,4 +90,4 @@
     python.write_text(f"#!/bin/sh\nkill -{sent} $$\nexit 7\n")  # at its very beginning
     python.chmod(0o755)
     run = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
-    assert subprocess.run(["sh", "-c", run], cwd=tmp_path, timeout=PATIENCE).returncode == code
+    assert subprocess.run(["sh", "-c", run], cwd=tmp_path, timeout=TIMEOUT_S).returncode == code
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -7,9 +7,9 @@
 import pytest
 
 from wickstep.spread import measures, report
-from wickstep.spread.logs import Reader
-from wickstep.spread.reasons import Why, reason
-from wickstep.spread.record import BIN_S, Record, Sent, ServerLife
+from wickstep.spread.logs import LogReader
+from wickstep.spread.reasons import SendReason, classify_send
+from wickstep.spread.record import BIN_S, Record, SentSetUp, ServerTimeline
 
 
 def drawn(herd: int = 1, seconds: int = 20, rate: float = 400.0, seed: int = 1) -> Record:
@@ -19,9 +19,11 @@
     at = 0.0
     while (at := at + dice.expovariate(rate / herd)) < seconds:
         server = f"s{dice.randrange(4)}"
-        record.sent += [Sent(at, 0, server, Why.FIRST)] * herd
+        record.sent += [SentSetUp(at, 0, server, SendReason.FIRST)] * herd
     for number in range(4):
-        record.servers[f"s{number}"] = ServerLife([100.0] * record.bins(), [0.25] * record.bins())
+        record.servers[f"s{number}"] = ServerTimeline(
+            [100.0] * record.bin_count(), [0.25] * record.bin_count()
+        )
     return record
 
 
@@ -33,18 +35,23 @@
 
 def test_a_herd_shows_in_the_dispersion_unless_callers_come_in_herds_themselves() -> None:
     record = drawn(herd=8)
-    assert measures.dispersion(measures.arrivals(record, 0, record.bins())) > 1.3
+    assert measures.dispersion(measures.count_arrivals(record, 0, record.bin_count())) > 1.3
     even = Record(20.0)
     dice = random.Random(2)
     for item in record.sent:  # the same herds of callers, each spread by independent draws
-        even.sent.append(Sent(item.at, 0, f"s{dice.randrange(4)}", Why.FIRST))
+        even.sent.append(SentSetUp(item.at, 0, f"s{dice.randrange(4)}", SendReason.FIRST))
     even.servers = record.servers
-    assert measures.dispersion(measures.arrivals(even, 0, even.bins())) == pytest.approx(1.0, abs=0.1)
+    assert measures.dispersion(measures.count_arrivals(even, 0, even.bin_count())) == pytest.approx(
+        1.0, abs=0.1
+    )
 
 
 def test_a_server_with_twice_its_part_is_the_peak() -> None:
-    record = Record(1.0, [Sent(0.5, 0, "a", Why.FIRST)] * 20 + [Sent(0.5, 0, "b", Why.TURNED)] * 10)
-    record.servers = {name: ServerLife([50.0] * 10, [0.0] * 10) for name in "ab"}
+    record = Record(
+        1.0,
+        [SentSetUp(0.5, 0, "a", SendReason.FIRST)] * 20 + [SentSetUp(0.5, 0, "b", SendReason.TURNED)] * 10,
+    )
+    record.servers = {name: ServerTimeline([50.0] * 10, [0.0] * 10) for name in "ab"}
     found = measures.measure(record)
     assert found.peak_over_mean == pytest.approx(20 / 15)
     assert found.by_reason == {"first": 20, "turned": 10, "retry": 0, "trial": 0}
@@ -53,8 +60,8 @@
 def test_idle_servers_count_while_a_caller_is_refused_or_waits_over_its_aim() -> None:
     record = Record(1.0, refused=[0.05], overdue=[(0.42, 0.58)])
     record.servers = {
-        "large": ServerLife([90.0] * 10, [0.5] * 10),
-        "small": ServerLife([10.0] * 10, [1.0] * 10),
+        "large": ServerTimeline([90.0] * 10, [0.5] * 10),
+        "small": ServerTimeline([10.0] * 10, [1.0] * 10),
     }
     found = measures.measure(record)
     assert found.trouble == pytest.approx(0.3)  # one span of a refusal, two of a wait
@@ -65,10 +72,17 @@
 
 @pytest.mark.parametrize(
     ("attempt", "wanted", "number", "fails", "why"),
-    [(0, 3, 3, 0, Why.FIRST), (0, 3, 4, 1, Why.TURNED), (1, 3, 3, 0, Why.RETRY), (0, 3, 3, 2, Why.TRIAL)],
+    [
+        (0, 3, 3, 0, SendReason.FIRST),
+        (0, 3, 4, 1, SendReason.TURNED),
+        (1, 3, 3, 0, SendReason.RETRY),
+        (0, 3, 3, 2, SendReason.TRIAL),
+    ],
 )
-def test_each_set_up_has_one_reason(attempt: int, wanted: int, number: int, fails: int, why: Why) -> None:
-    assert reason(attempt, wanted, number, fails) is why
+def test_each_set_up_has_one_reason(
+    attempt: int, wanted: int, number: int, fails: int, why: SendReason
+) -> None:
+    assert classify_send(attempt, wanted, number, fails) is why
 
 
 LOG = """\
@@ -84,30 +98,30 @@
 
 
 def test_logs_are_read_back_over_midnight_and_what_is_no_line_is_passed_over() -> None:
-    reader = Reader()
-    reader.add(7, LOG.split("\n"))
-    record = reader.record(aim_s=0.05)
-    assert [(item.softswitch, item.server, item.why) for item in record.sent] == [
-        (7, "s-1", Why.FIRST), (7, "s-2", Why.TURNED),
+    reader = LogReader()
+    reader.add_log(7, LOG.split("\n"))
+    record = reader.build_record(aim_s=0.05)
+    assert [(item.softswitch, item.server, item.reason) for item in record.sent] == [
+        (7, "s-1", SendReason.FIRST), (7, "s-2", SendReason.TURNED),
     ]  # fmt: skip
     assert record.sent[1].at == pytest.approx(0.6)
     assert [server for _, server in record.full] == ["s-2"]
     assert [record.full[0][0], *record.refused] == pytest.approx([0.7, 0.8])
     assert [*record.overdue[0]] == pytest.approx([0.05, 0.1])
-    assert reader.unread == 1
-    table = report.lines(record, [report.Phase("all", 0, record.lasts_s)])
+    assert reader.unknown_lines == 1
+    table = report.format_lines(record, [report.Phase("all", 0, record.duration_s)])
     assert table[1].startswith("all")
-    assert Reader().record(1.0).sent == []
+    assert LogReader().build_record(1.0).sent == []
 
 
 def test_the_page_holds_all_phases_and_a_plot() -> None:
     record = drawn(seconds=4)
     phases = [report.Phase("before <burst>", 0, 2), report.Phase("all", 0, 4)]
-    page = report.page("a & b", record, phases)
+    page = report.render_page("a & b", record, phases)
     assert "a &amp; b" in page
     assert "before &lt;burst&gt;" in page
     assert "<svg" in page
 
 
 def test_a_bin_is_a_tenth_of_a_second() -> None:
-    assert Record(3.0).bins() == round(3 / BIN_S) == 30
+    assert Record(3.0).bin_count() == round(3 / BIN_S) == 30
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -25,19 +25,19 @@
 from wickstep.net import (
     Answer,
     GroupState,
-    Malformed,
+    MalformedMessage,
     Reason,
     Release,
-    ReleaseHeard,
+    ReleaseComplete,
     SetUp,
     Test,
     codec,
     links,
 )
-from wickstep.operation import front
+from wickstep.operation import operator_server
 
 from .checker import Checker
-from .test_softswitch import LINES, PATIENCE, Bulletin, line, wait_for
+from .test_softswitch import LINES, TIMEOUT_S, Bulletin, list_line, wait_for
 from .test_softswitch import Server as Listening
 from .test_wire import CONF
 
@@ -75,7 +75,7 @@
             self.open.append(sock)
             again = [Release(call, Reason.CLEARED) for call in self.unheard]
         self.say(sock, *again)
-        with contextlib.suppress(OSError, Malformed):
+        with contextlib.suppress(OSError, MalformedMessage):
             while data := sock.recv(4096):
                 for message in splitter.feed(data):
                     self.heard(sock, message)
@@ -94,7 +94,7 @@
             timer = threading.Timer(HOLD_S, self.over, (message.call,))
             timer.daemon = True
             timer.start()
-        elif isinstance(message, Release | ReleaseHeard):
+        elif isinstance(message, Release | ReleaseComplete):
             with self.lock:
                 self.standing.pop(message.call, None)
                 self.unheard.discard(message.call)
@@ -127,7 +127,7 @@
     def run(self) -> None:
         while not self.stop.is_set() or self.crossed:
             try:
-                sock = socket.create_connection(self.where, timeout=PATIENCE)
+                sock = socket.create_connection(self.where, timeout=TIMEOUT_S)
             except OSError:
                 self.at_the_door += 1
                 self.stop.wait(0.05)
@@ -178,7 +178,7 @@
                 elif isinstance(message, Release):
                     self.over.add(message.call)
                     with contextlib.suppress(OSError):
-                        sock.sendall(codec.encode(ReleaseHeard(message.call)))
+                        sock.sendall(codec.encode(ReleaseComplete(message.call)))
 
 
 class Process:
@@ -203,7 +203,7 @@
 
     def ready(self) -> bool:
         try:
-            return front.ask(self.operators, "STATUS", 1.0) == ["SUCCESS serving"]
+            return operator_server.send_command(self.operators, "STATUS", 1.0) == ["SUCCESS serving"]
         except OSError:
             return False
 
@@ -223,7 +223,7 @@
         self.running: list[Process] = []
         self.callers: list[Caller] = []
         servers = [SetUpServer(f"s-{number}", self.checker) for number in range(2)]
-        hosts = [line(one.server, one.host, number) for number, one in enumerate(servers)]
+        hosts = [list_line(one.server, one.host, number) for number, one in enumerate(servers)]
         self.bulletin = Bulletin()
         conf = json.loads(json.dumps(CONF))
         conf["classes"][0].update({"name": "voice", "give_up_ns": 2_000_000_000})
@@ -262,7 +262,7 @@
         for caller in self.callers:
             caller.stop.set()
         for caller in self.callers:
-            caller.thread.join(PATIENCE)
+            caller.thread.join(TIMEOUT_S)
 
     def close(self) -> None:
         self.rest()
@@ -270,7 +270,7 @@
             with contextlib.suppress(ProcessLookupError):
                 process.signal(signal.SIGCONT)
             process.child.kill()
-            process.child.wait(PATIENCE)
+            process.child.wait(TIMEOUT_S)
         self.held.close()
 
     @property
@@ -300,7 +300,7 @@
     wait_for(lambda: any(file.read_bytes() == b"r" for file in folder(place).glob(f"*-{new.child.pid}.life")))
     time.sleep(0.3)  # until the old one has looked
     old.signal(signal.SIGTERM)
-    assert old.child.wait(PATIENCE) == 0
+    assert old.child.wait(TIMEOUT_S) == 0
     assert "handing over" in old.log.read_text()
     place.goes_on()
     wait_for(lambda: "has left" in new.log.read_text())
@@ -324,7 +324,7 @@
     place.goes_on(20)
     if fault == "no successor":
         old.signal(signal.SIGTERM)  # whoever comes waits at the held socket
-        assert old.child.wait(PATIENCE) == 0
+        assert old.child.wait(TIMEOUT_S) == 0
         new = place.start()
         assert "stopping" in old.log.read_text()
     else:
@@ -335,21 +335,21 @@
             old.child.kill()  # without a word: what was open there is lost with it
         case "new killed":
             new.child.kill()
-            new.child.wait(PATIENCE)
+            new.child.wait(TIMEOUT_S)
             time.sleep(0.5)
-            assert front.ask(old.operators, "STATUS")[0] == "SUCCESS serving"
+            assert operator_server.send_command(old.operators, "STATUS")[0] == "SUCCESS serving"
         case "old stalled":
             old.signal(signal.SIGTERM)
             old.signal(signal.SIGSTOP)
             time.sleep(0.5)
             old.signal(signal.SIGCONT)
-            assert old.child.wait(PATIENCE) == 0
+            assert old.child.wait(TIMEOUT_S) == 0
         case "new stalled":
             new.signal(signal.SIGSTOP)
             old.signal(signal.SIGTERM)
             time.sleep(0.5)
             new.signal(signal.SIGCONT)
-            assert old.child.wait(PATIENCE) == 0
+            assert old.child.wait(TIMEOUT_S) == 0
         case "old killed in handover":
             old.signal(signal.SIGTERM)
             time.sleep(0.1)
@@ -371,13 +371,13 @@
             first = place.start()
             wait_for(kept.exists)
             first.child.kill()
-            first.child.wait(PATIENCE)
+            first.child.wait(TIMEOUT_S)
             whole = kept.read_bytes()
             kept.write_bytes(whole[: len(whole) // 2] if spoilt == "cut" else whole)
             if spoilt == "old":
                 from wickstep.recovery import envelope
 
-                content = envelope.unseal("learned", whole)
+                content = envelope.unpack("learned", whole)
                 envelope.write(kept, "learned", {**content, "at": max(content["at"] - 60 * 10**9, 0)})
         case "foreign":
             (place.shared / "elsewhere").mkdir()
@@ -392,15 +392,15 @@
     place.goes_on(10)
     place.rest()
     process.signal(signal.SIGTERM)
-    assert process.child.wait(PATIENCE) == 0
+    assert process.child.wait(TIMEOUT_S) == 0
     assert place.checker.broken() == []
 
 
 def test_operators_are_answered_by_each_process_at_its_own_address(place: Place) -> None:
     old, new = place.start(), place.start()
-    assert front.ask(old.operators, "PAUSE") == ["SUCCESS draining"]
-    assert front.ask(old.operators, "STATUS") == ["FAILURE paused"]
-    assert front.ask(new.operators, "STATUS") == ["SUCCESS serving"]
-    with socket.create_connection(links.address(old.operators)) as sock:
+    assert operator_server.send_command(old.operators, "PAUSE") == ["SUCCESS draining"]
+    assert operator_server.send_command(old.operators, "STATUS") == ["FAILURE paused"]
+    assert operator_server.send_command(new.operators, "STATUS") == ["SUCCESS serving"]
+    with socket.create_connection(links.parse_address(old.operators)) as sock:
         sock.sendall(b"METRICS\n")
         assert sock.recv(100).startswith(b"svc_results{")
--- a/wickstep/__main__.py
+++ b/wickstep/__main__.py
@@ -17,11 +17,11 @@
 import ujson
 
 from wickstep import __version__
-from wickstep.net import Malformed, Message, Release, SetUp, Test, TestResult, codec, links, softswitch
+from wickstep.net import MalformedMessage, Message, Release, SetUp, Test, TestResult, codec, links, softswitch
 
 if TYPE_CHECKING:
     from wickstep.numbering.table import Table
-    from wickstep.recovery.store import Store
+    from wickstep.recovery.store import LearnedStore
 
 T = TypeVar("T")
 
@@ -73,7 +73,7 @@
     """Say one message and yield what is heard about it, up to the first of the type `last`."""
     splitter = codec.Splitter()
     try:
-        with socket.create_connection(links.address(to), timeout=5) as sock:
+        with socket.create_connection(links.parse_address(to), timeout=5) as sock:
             sock.sendall(codec.encode(message))
             sock.settimeout(60)
             while data := sock.recv(4096):
@@ -82,7 +82,7 @@
                         yield heard
                         if isinstance(heard, last):
                             return
-    except (OSError, ValueError, Malformed) as trouble:
+    except (OSError, ValueError, MalformedMessage) as trouble:
         raise click.ClickException(f"{to}: {trouble}") from trouble
     raise click.ClickException(f"{to}: the connection was closed")
 
@@ -139,52 +139,52 @@
 
     # Before the configuration is read and anything listens: the default of each would end the process, with
     # what has come meanwhile, and a change that SIGHUP tells of is read right below or again later.
-    signal.signal(signal.SIGTERM, asks("stop_asked"))
-    signal.signal(signal.SIGINT, asks("stop_asked"))
-    signal.signal(signal.SIGHUP, asks("reload_asked"))
-    signal.signal(signal.SIGUSR1, asks("counts_asked"))
-    threading.stack_size(links.STACK)
+    signal.signal(signal.SIGTERM, asks("stop_requested"))
+    signal.signal(signal.SIGINT, asks("stop_requested"))
+    signal.signal(signal.SIGHUP, asks("reload_requested"))
+    signal.signal(signal.SIGUSR1, asks("counts_requested"))
+    threading.stack_size(links.THREAD_STACK)
     config = read(path)
     store = store_by(recovery_path, config.name)
     switch = softswitch.Softswitch(config, lambda: read(path), analysis_by(numbers_path), store)
     for what in early:
         setattr(switch, what, True)
-    host, port = switch.listener.where
-    click.echo(f"{switch.floor.config.name} listens on {host}:{port}", err=True)
+    host, port = switch.listener.address
+    click.echo(f"{switch.shared.config.name} listens on {host}:{port}", err=True)
     switch.run()
-    softswitch.leave()
+    softswitch.exit_process()
 
 
 def read_form(path: Path, reader: Callable[[str], T]) -> T:
     """An operator's file in KDL, as its own reader makes it; a ClickException says what is wrong with it."""
-    from wickstep.forms import BadForm
+    from wickstep.forms import KdlError
 
     try:
         return reader(path.read_text())
-    except (OSError, BadForm, UnicodeDecodeError) as trouble:
+    except (OSError, KdlError, UnicodeDecodeError) as trouble:
         raise click.ClickException(f"{path}: {trouble}") from trouble
 
 
-def store_by(path: Path | None, softswitch_name: str) -> Store | None:
+def store_by(path: Path | None, softswitch_name: str) -> LearnedStore | None:
     """Where what is learned is kept over restarts; None where it is not."""
     if path is None:
         return None
     from wickstep.recovery import plan
-    from wickstep.recovery.store import Store
+    from wickstep.recovery.store import LearnedStore
 
-    return Store(read_form(path, plan.read), softswitch_name)
+    return LearnedStore(read_form(path, plan.read), softswitch_name)
 
 
 def analysis_by(
     path: Path | None,
-) -> Callable[[softswitch.Floor, softswitch.Admit], softswitch.Numbers] | None:
+) -> Callable[[softswitch.SharedState, softswitch.AdmitStage], softswitch.NumberAnalysis] | None:
     """What makes the stage of number analysis; None where it is off, and then nothing of it is loaded."""
     if path is None:
         return None
     from wickstep.numbering import stage
 
     table = read_table(path)
-    return lambda floor, admit: stage.NumberStage(floor, admit, path, table)
+    return lambda shared, admit: stage.NumberStage(shared, admit, path, table)
 
 
 def read_table(path: Path) -> Table:
@@ -192,7 +192,7 @@
     from wickstep.numbering.table import BadTable
 
     try:
-        return stage.load(path)
+        return stage.load_table(path)
     except BadTable as trouble:
         told = "\n".join(map(str, trouble.troubles))
         raise click.ClickException(f"{path} is no table\n{told}") from trouble
@@ -253,22 +253,22 @@
 def spread(logs: tuple[Path, ...], aim_s: float, html_path: Path | None) -> None:
     """Say how evenly softswitches loaded the setup servers, from the logs of `serve --verbose`, one each."""
     from wickstep.spread import report
-    from wickstep.spread.logs import Reader
+    from wickstep.spread.logs import LogReader
 
-    reader = Reader()
+    reader = LogReader()
     for number, path in enumerate(logs):
         with path.open(errors="replace") as lines:
-            reader.add(number, lines)
-    record = reader.record(aim_s)
+            reader.add_log(number, lines)
+    record = reader.build_record(aim_s)
     if not record.sent:
         raise click.ClickException("no set-up is told of in these logs: was it `serve --verbose`?")
-    phases = [report.Phase("all", 0.0, record.lasts_s)]
-    click.echo("\n".join(report.lines(record, phases)))
+    phases = [report.Phase("all", 0.0, record.duration_s)]
+    click.echo("\n".join(report.format_lines(record, phases)))
     if html_path is not None:
-        html_path.write_text(report.page("spread", record, phases))
+        html_path.write_text(report.render_page("spread", record, phases))
 
 
-NOBODY = 3  # exit code where no softswitch answers at the operators' address
+EXIT_NO_ANSWER = 3  # exit code where no softswitch answers at the operators' address
 OPERATOR = click.option(
     "--at",
     "where",
@@ -280,27 +280,27 @@
 
 
 def operate(where: str, asked: str) -> list[str]:
-    """Ask at the operators' address; ends with `NOBODY` where no answer comes."""
-    from wickstep.operation import front
+    """Ask at the operators' address; ends with `EXIT_NO_ANSWER` where no answer comes."""
+    from wickstep.operation import operator_server
 
     try:
-        lines = front.ask(where, asked)
+        lines = operator_server.send_command(where, asked)
     except (OSError, ValueError) as trouble:
         click.echo(f"{where}: {trouble}", err=True)
-        sys.exit(NOBODY)
+        sys.exit(EXIT_NO_ANSWER)
     if not lines:
         click.echo(f"{where}: closed without an answer", err=True)
-        sys.exit(NOBODY)
+        sys.exit(EXIT_NO_ANSWER)
     return lines
 
 
 def say_and_leave(where: str, asked: str) -> None:
     """Print the reply; exit code 0 if it says yes, 1 if no."""
-    from wickstep.operation import calls
+    from wickstep.operation import commands
 
     word, _, text = operate(where, asked)[0].partition(" ")
     click.echo(text or word)
-    sys.exit(word != calls.SUCCESS)
+    sys.exit(word != commands.SUCCESS)
 
 
 @main.command()
@@ -328,10 +328,10 @@
 @OPERATOR
 def metrics(where: str) -> None:
     """Print the figures of a running softswitch, see docs/on-call.md."""
-    from wickstep.operation import calls
+    from wickstep.operation import commands
 
     lines = operate(where, "METRICS")
-    if lines[-1] != calls.END:
+    if lines[-1] != commands.END_OF_REPLY:
         click.echo(f"{where}: {lines[0]}", err=True)
         sys.exit(1)
     click.echo("\n".join(lines[:-1]))
--- a/wickstep/benchlink.py
+++ b/wickstep/benchlink.py
@@ -74,13 +74,13 @@
     return api.NewCall(
         call=int(f[2]),
         klass=_number(f[3]),
-        patience=_number(f[6]),
+        max_wait=_number(f[6]),
         first_choice=-1 if f[8] == "-" else int(f[8]),
         repeat=_bool(f[11]),
         transit=_bool(f[13]),
         tenant=_number(f[4]),
         callee="" if f[5] == "-" else f[5],
-        advice=-1 if f[10] == "-" else int(f[10]),
+        advised_server=-1 if f[10] == "-" else int(f[10]),
     )
 
 
@@ -91,7 +91,7 @@
         attempt=int(f[3]),
         server=f[4],
         outcome=OUTCOMES[rc],
-        took=_number(f[6]),
+        delay=_number(f[6]),
         call_over=_bool(f[7]),
         callee_busy=note == NOTE_CALLEE_BUSY,
         report=read_report(f[9]),
@@ -127,7 +127,7 @@
 def write_action(proxy: str, action: api.Action) -> str:
     match action:
         case api.Send():
-            return f"PASS_ON {proxy} {action.call} {action.server} {action.limit}"
+            return f"PASS_ON {proxy} {action.call} {action.server} {action.timeout}"
         case api.Refuse():
             return f"SAY_NO {proxy} {action.call} {action.retry_after}"
         case api.Fail():
--- a/wickstep/brain.py
+++ b/wickstep/brain.py
@@ -20,32 +20,32 @@
 T_M = SECOND // 5  # sampling interval of the occupancy
 PACE_AIM = SECOND  # where calls are wanted sooner than this, the loop's times shrink with the shortest aim
 STEPS_PER_F = 2  # T_f in sampling intervals: the pass share is stepped on every second one
-WEIGHT = 0.8  # of the newest sample in the smoothed occupancy
-TARGET = 0.95  # occupancy aimed at
+EWMA_WEIGHT = 0.8  # of the newest sample in the smoothed occupancy
+TARGET_RHO = 0.95  # occupancy aimed at
 P_MIN = 0.02  # a pressed server is still asked now and then, so that its recovery is seen
-SAMPLE_MOST = 4.0  # a longer wait presses no harder: it is a jam already
-STEP_MOST = 1.25  # a step changes the share by a quarter at most: waits come late, a faster loop swings
+MAX_SAMPLE = 4.0  # a longer wait presses no harder: it is a jam already
+MAX_STEP = 1.25  # a step changes the share by a quarter at most: waits come late, a faster loop swings
 AIM_PART = 0.35  # the set-up time aimed at lies this far between an idle server's and the shortest aim
 THIN = 1.0  # below this many own set-ups a second, of senders that fill an aim with one each, evidence is
 AIM_THIN = 0.14  # late and no window holds: waits overshoot, so less is aimed at
-AWAY = 1.5  # what a call counts for away from its first choice, where it lasts longer as a rule
-TRIES_MOST = 5  # of one caller for one call; a number called more often has several callers
-CALLEES_MOST = 10_000  # remembered
+AWAY_FACTOR = 1.5  # what a call counts for away from its first choice, where it lasts longer as a rule
+MAX_TRIES = 5  # of one caller for one call; a number called more often has several callers
+MAX_CALLEES = 10_000  # remembered
 ROOM = 0.85  # below this smoothed occupancy a server has room for set-ups of another first choice
 BASE_DRIFT = 1.002  # the shortest set-up time seen is forgotten this slowly, a set-up at a time
 FULL = 2.0  # sample of a refusal, a silence or an error: full twice over
 GAIN = 0.05  # of the newest in two slow averages: rate of own calls (per T_m), part lost (per set-up)
 IN_LINE = 3  # a probe waits in a processor's line once; a set-up twice, for itself and for its answer
 LOSSY = 0.1  # above this part lost, a set-up out for long is called off early
-MARK = SECOND // 5  # skip mark after one 'processor full' or time-out
-MARK_MOST = 3 * SECOND  # longest mark of a server that keeps failing
-ODD_MOST = 5  # errors and broken connections, with no call that stands between, that make a failure
-FAULTY = 0.23  # part of set-ups answered with an error; more is the server's fault: over ODD_MOST in a row
+FIRST_MARK = SECOND // 5  # skip mark after one 'processor full' or time-out
+MAX_MARK = 3 * SECOND  # longest mark of a server that keeps failing
+MAX_ERROR_RUN = 5  # errors and broken connections, with no call that stands between, that make a failure
+ERROR_LIMIT = 0.23  # part of set-ups met by errors; more is the server's fault: over MAX_ERROR_RUN in a row
 TRIALS = 4  # a second, of a server that keeps failing, by all proxies together
-SUSPECT = 2  # failures in a row after which a server gets one trial at a time
+SUSPECT_AFTER = 2  # failures in a row after which a server gets one trial at a time
 QUIET = SECOND  # evidence older than this says nothing about now
-WINDOW_START = 2.0  # set-ups out at one server before anything is known of it
-WINDOW_LEAST = 1.0
+INITIAL_WINDOW = 2.0  # set-ups out at one server before anything is known of it
+MIN_WINDOW = 1.0
 COLD_MARGIN = 0.7  # part of the cold budget used: many a server can do less than its lines are planned for
 WARM_ENOUGH = 0.8  # part of what it can do warm, from which on a successor takes over
 COLD_BURST = 0.1  # part of the budget that may be saved up; the rest flows in over the window
@@ -65,28 +65,28 @@
     started: int  # as the list says; 0: long ago
     cold_since: int  # the same, or later where a restart is suspected
     state: ServerState = ServerState.GONE
-    told_at: int = 0  # when the list last spoke of it
+    listed_at: int = 0  # when the list last spoke of it
     successor: Server | None = None  # active under the same number, and started later
     rho: float | None = None  # smoothed occupancy
     share: float = 1.0  # pass share p
-    evidence: list[float] = field(default_factory=list)  # occupancy samples of this interval
-    fresh: bool = False  # the occupancy has a sample that no step has used
-    heard_at: int = 0  # when the last of them came
-    out: dict[int, int] = field(default_factory=dict)  # call -> when its attempt went out
-    window: float = WINDOW_START  # how many may be out
-    base: float = 0.0  # shortest set-up time seen, slowly forgotten
+    samples: list[float] = field(default_factory=list)  # occupancy samples of this interval
+    has_new_sample: bool = False  # the occupancy has a sample that no step has used
+    sampled_at: int = 0  # when the last of them came
+    open: dict[int, int] = field(default_factory=dict)  # call -> when its attempt went out
+    window: float = INITIAL_WINDOW  # how many may be out
+    min_time: float = 0.0  # shortest set-up time seen, slowly forgotten
     mark_until: int = 0
-    fails: int = 0  # in a row
-    odd: int = 0  # errors and broken connections since a call last stood there
-    odd_at: int = 0
-    errors: float = 0.0  # part of the set-ups that it has answered with one, of late
+    failures: int = 0  # in a row
+    error_run: int = 0  # errors and broken connections since a call last stood there
+    error_at: int = 0
+    error_rate: float = 0.0  # part of the set-ups that it has answered with one, of late
     alive_at: int = 0  # last sign of life
     credit: float = 0.0  # sends a cold server may be given now
     credit_at: int = 0
     rate: float = THIN  # set-ups a second that this proxy may expect to send it
     lines: float = 0.0  # as reported; 0: unknown
     free: float = 0.0  # of them, as last told, less what was sent since
-    told: bool = False  # whether its lines were told: none at all is not the same as unknown
+    reported: bool = False  # whether its lines were told: none at all is not the same as unknown
 
 
 @dataclass(slots=True)
@@ -100,7 +100,7 @@
     admitted: bool = False  # it has passed its draw
     attempts: int = 0
     server: Server | None = None  # where the one attempt is out
-    off_at: int = 0  # when that has taken far longer than usual
+    cancel_at: int = 0  # when that has taken far longer than usual
     blocked_until: int = 0  # release wait
     draw: float = 1.0
     erred: Server | None = None  # has answered an attempt with an error
@@ -116,19 +116,19 @@
         self.servers: dict[str, Server] = {}
         self.active: list[Server] = []  # those that may be sent to
         self.calls: dict[int, Call] = {}
-        self.held: dict[int, Call] = {}
-        self.rung: dict[str, list[int]] = {}  # number called -> when it was first, and how often
+        self.queued: dict[int, Call] = {}
+        self.dialled: dict[str, list[int]] = {}  # number called -> when it was first, and how often
         self.rate, self.arrivals = 0.0, 0  # own first tries: a second, and in this interval
         self.freed = 0.0  # own part of the lines that come free in a nanosecond; 0: unknown
-        self.pointer = random.Random(~seed).random()  # turns by the golden section, from a drawn start
-        self.out: api.Actions = []
+        self.rotation = random.Random(~seed).random()  # turns by the golden section, from a drawn start
+        self.actions: api.Actions = []
         self.now = self.ticks = 0
-        self.least_worth, self.aim = settings.least_worth, settings.shortest_aim
+        self.least_worth, self.aim = settings.min_worth, settings.shortest_aim
         pace = min(1.0, self.aim / PACE_AIM)
         self.t_m, self.quiet = int(T_M * pace), int(QUIET * pace)
-        self.mark, self.mark_most = int(MARK * pace), int(MARK_MOST * pace)
+        self.mark, self.mark_most = int(FIRST_MARK * pace), int(MAX_MARK * pace)
         self.loss = 0.0  # part of the set-ups whose answer is lost, of late
-        self.yields, self.length = settings.least_yield, settings.mean_length or math.inf
+        self.line_yield, self.holding_time = settings.min_yield, settings.mean_holding_time or math.inf
         self.handlers: dict[type, Callable[[Any], None]] = {
             api.Started: self._start, api.ServerList: self._list, api.NewCall: self._new_call,
             api.CallStands: self._stands, api.AttemptEnded: self._ended, api.TimerDue: self._timer,
@@ -138,14 +138,14 @@
 
     def handle(self, event: api.Event, now: int) -> api.Actions:
         """Take one event; return what the host has to do, in order."""
-        self.now, self.out = now, []
+        self.now, self.actions = now, []
         self.handlers[type(event)](event)
-        return self.out
+        return self.actions
 
     def _start(self, event: api.Started) -> None:
-        self.out.append(api.Wake(TICK_TOKEN, self.now + self.random.randrange(1, self.t_m)))
+        self.actions.append(api.Wake(TICK_TOKEN, self.now + self.random.randrange(1, self.t_m)))
         if self.settings.list_on_request:
-            self.out.append(api.FollowList())
+            self.actions.append(api.FollowList())
 
     # The ordinary path of a set-up.
 
@@ -154,44 +154,44 @@
             return
         klass = self.settings.classes[event.klass]
         began = self._began(event)
-        call = self.calls[event.call] = Call(event, klass, began + klass.aim, self.now + event.patience)
+        call = self.calls[event.call] = Call(event, klass, began + klass.aim, self.now + event.max_wait)
         self.arrivals += not event.repeat and began == self.now
         self._place(call)
         if event.call in self.calls:  # a call refused at once leaves no timer behind
-            self.out.insert(0, api.Wake(event.call + 1, call.deadline))
+            self.actions.insert(0, api.Wake(event.call + 1, call.deadline))
 
     def _began(self, event: api.NewCall) -> int:
         """When its caller first rang: where repeats are not marked, the number called tells."""
-        rung, oldest = self.rung, self.now - self.settings.longest_ring
-        while rung and (len(rung) > CALLEES_MOST or next(iter(rung.values()))[0] < oldest):
+        rung, oldest = self.dialled, self.now - self.settings.max_redial_time
+        while rung and (len(rung) > MAX_CALLEES or next(iter(rung.values()))[0] < oldest):
             del rung[next(iter(rung))]
         if self.settings.marks_repeats or not event.callee:
             return self.now
         tries = rung.setdefault(event.callee, [self.now, 0])
         tries[1] += 1
-        return tries[0] if tries[1] <= TRIES_MOST else self.now
+        return tries[0] if tries[1] <= MAX_TRIES else self.now
 
     def _has_line(self, call: Call, server: Server) -> bool:
         """Whether a line is free, and the call worth more than others would pay (docs/design-agents.md)."""
-        if not server.told or server.free < 1 + (call.klass.aim > self.aim and server.lines > 1):
-            return not server.told
-        length = call.klass.length * (1 if server.number == call.event.first_choice else AWAY)
-        price = self.yields * length / (1 + server.free * math.sqrt(2 / math.pi / server.lines))
+        if not server.reported or server.free < 1 + (call.klass.aim > self.aim and server.lines > 1):
+            return not server.reported
+        length = call.klass.holding_time * (1 if server.number == call.event.first_choice else AWAY_FACTOR)
+        price = self.line_yield * length / (1 + server.free * math.sqrt(2 / math.pi / server.lines))
         return self._worth(call) >= price
 
     def _choices(self, call: Call) -> list[Server]:
         """Servers this call may use: its first choice, then the others from the turning pointer on."""
         wanted, listed = call.event.first_choice, call.event.candidates
         allowed = [s for s in self.active if self._may_take(call, s) and self._has_line(call, s)]
-        usable = [s for s in allowed if self.unmarked(s)] or [s for s in allowed if s.errors > FAULTY]
+        usable = [s for s in allowed if self.may_try(s)] or [s for s in allowed if s.error_rate > ERROR_LIMIT]
         # After an error another server is asked: that tells whose fault it was.
         usable = [s for s in usable if s is not call.erred] or usable
         if listed:  # a route list has an order of its own
             return sorted(usable, key=lambda s: (self._replaced(s), listed.index(s.number)))
         others = [s for s in usable if s.number != wanted and not call.event.transit]
         # Each fills a part of the ring by its lines, free ones where it has room, over its set-up time.
-        slowest = max((s.base for s in self.active), default=0.0) or 1.0
-        parts = [(s.lines + 1) / (s.base or slowest) for s in others]
+        slowest = max((s.min_time for s in self.active), default=0.0) or 1.0
+        parts = [(s.lines + 1) / (s.min_time or slowest) for s in others]
         roomy = [part * self._roomy(s) for part, s in zip(parts, others, strict=True)]
         luck = call.event.call * math.sqrt(2) % 1  # the same however often it is placed
         if self._thin(self.rate / max(len(self.active), 1), slowest) and 0 < sum(roomy) < luck * sum(parts):
@@ -200,7 +200,7 @@
         free = [s.free / (s.lines + 1) * (not self._replaced(s)) for s in others]
         weights = [a * b for a, b in zip(roomy, free, strict=True)]
         weights = weights if any(weights) else parts
-        turn = bisect(list(accumulate(weights)), self.pointer % 1 * sum(weights))
+        turn = bisect(list(accumulate(weights)), self.rotation % 1 * sum(weights))
         first = [s for s in usable if s.number == wanted]
         return sorted(first + others[turn:] + others[:turn], key=self._replaced)
 
@@ -229,9 +229,9 @@
         spare = call.klass.aim // (2 if choices else 10)  # lines come free soon, what is pressed stays so
         if not able or self.now >= min(call.aim_at, call.deadline) - spare:
             return self._refuse(call)
-        self.held[call.event.call] = call
-        if 0 < self.freed * call.klass.aim < len(self.held):
-            self._refuse(min(reversed(self.held.values()), key=self._worth))  # nothing can come in time
+        self.queued[call.event.call] = call
+        if 0 < self.freed * call.klass.aim < len(self.queued):
+            self._refuse(min(reversed(self.queued.values()), key=self._worth))  # nothing can come in time
 
     def _passes(self, call: Call, server: Server, first: bool) -> bool:
         """The draw against the pass share, blind to who sent the call; after the first, room will do."""
@@ -239,7 +239,7 @@
             return True
         power = self.least_worth / max(self._worth(call), 1e-9)
         power = min(power, power**2)  # a pressed processor is for the worthier calls
-        chance = server.share * min(1.0, TARGET / server.rho if server.rho else 1.0)
+        chance = server.share * min(1.0, TARGET_RHO / server.rho if server.rho else 1.0)
         return (first or call.klass.worth > self.least_worth) and call.draw < math.pow(chance, power)
 
     def _worth(self, call: Call) -> float:
@@ -251,43 +251,43 @@
         pressed = server.share < 1 or (server.rho is not None and server.rho >= ROOM)
         return not pressed and (server.free > 0 or not server.lines)
 
-    def _serve_held(self, server: Server | None = None) -> None:
+    def _serve_queued(self, server: Server | None = None) -> None:
         """Place those who wait; after news of one server, of thousands maybe, only while it can take more."""
-        waiting = iter(sorted(self.held.values(), key=self._worth, reverse=True))
-        while not server or (self.unmarked(server) and self._ready(server) and server.free >= server.told):
+        waiting = iter(sorted(self.queued.values(), key=self._worth, reverse=True))
+        while not server or (self.may_try(server) and self._ready(server) and server.free >= server.reported):
             if (call := next(waiting, None)) is None:
                 return
-            if call.event.call in self.held:
+            if call.event.call in self.queued:
                 self._place(call)
 
     def _send(self, call: Call, server: Server) -> None:
         if server.number != call.event.first_choice:
-            self.pointer += GOLDEN
-        self.held.pop(call.event.call, None)
+            self.rotation += GOLDEN
+        self.queued.pop(call.event.call, None)
         call.attempts += 1
         call.server = server
-        server.out[call.event.call] = self.now
+        server.open[call.event.call] = self.now
         server.credit -= 1
         server.free = max(0.0, server.free - 1)
         # While answers get lost, what is out for three times the usual is tried again, if in time.
         usual = int((server.rho or 1.0) * self._target_time(server))
-        call.off_at = self.now + 3 * usual
-        if self.loss > LOSSY and call.off_at + self.settings.release_wait + usual < call.aim_at:
-            self.out.append(api.Wake(call.event.call + 1, call.off_at))
-        self.out.append(api.Send(call.event.call, server.name, max(call.deadline - self.now, 1)))
+        call.cancel_at = self.now + 3 * usual
+        if self.loss > LOSSY and call.cancel_at + self.settings.release_wait + usual < call.aim_at:
+            self.actions.append(api.Wake(call.event.call + 1, call.cancel_at))
+        self.actions.append(api.Send(call.event.call, server.name, max(call.deadline - self.now, 1)))
 
     def _refuse(self, call: Call) -> None:
         if call.stuck:
             return self._fail(call.event.call)
         self._drop(call.event.call)
-        self.out.append(api.Refuse(call.event.call, MARK if self.settings.heeds_retry_after else 0))
+        self.actions.append(api.Refuse(call.event.call, FIRST_MARK if self.settings.heeds_retry_after else 0))
 
     def _fail(self, number: int) -> None:
         self._drop(number)
-        self.out.append(api.Fail(number))
+        self.actions.append(api.Fail(number))
 
     def _drop(self, number: int) -> None:
-        self.held.pop(number, None)
+        self.queued.pop(number, None)
         self.calls.pop(number, None)
 
     # Time and outcomes.
@@ -302,41 +302,41 @@
             self._fail(call.event.call)
         elif call.server is None and self.now >= call.blocked_until:
             self._place(call)
-        elif call.server and self.now >= call.off_at and event.token - 1 in call.server.out:
+        elif call.server and self.now >= call.cancel_at and event.token - 1 in call.server.open:
             self._call_off(call.server, event.token - 1, lost=False)
 
     def _stands(self, event: api.CallStands) -> None:
         server, call = self.servers.get(event.server), self.calls.get(event.call)
         if call is not None:
-            self.rung.pop(call.event.callee, None)  # its caller rings no more
+            self.dialled.pop(call.event.callee, None)  # its caller rings no more
         self._drop(event.call)
-        if server is None or event.call not in server.out:
+        if server is None or event.call not in server.open:
             return
-        self._overtaken(server, server.out.pop(event.call) - self.t_m / 2)
+        self._overtaken(server, server.open.pop(event.call) - self.t_m / 2)
         self.loss *= 1 - GAIN
-        server.errors *= 1 - GAIN
-        if server.base and server.cold_since > server.started and event.took < 2 * server.base:
+        server.error_rate *= 1 - GAIN
+        if server.min_time and server.cold_since > server.started and event.delay < 2 * server.min_time:
             server.cold_since = server.started  # as quick as before: the suspected restart was none
-        server.base = min(server.base * BASE_DRIFT, event.took) if server.base else event.took
-        if server.fails >= SUSPECT and server.heard_at > server.alive_at:
+        server.min_time = min(server.min_time * BASE_DRIFT, event.delay) if server.min_time else event.delay
+        if server.failures >= SUSPECT_AFTER and server.sampled_at > server.alive_at:
             server.cold_since = max(server.cold_since, self.now)  # silent till now: restarted, perhaps
-        server.fails, server.odd, server.alive_at = 0, 0, self.now
-        self._witness(server, event.took / (target := self._target_time(server)))
-        if event.took > target:
-            server.window = max(WINDOW_LEAST, server.window - 1 / server.window)
-        elif 2 * len(server.out) >= server.window - 1:
+        server.failures, server.error_run, server.alive_at = 0, 0, self.now
+        self._witness(server, event.delay / (target := self._target_time(server)))
+        if event.delay > target:
+            server.window = max(MIN_WINDOW, server.window - 1 / server.window)
+        elif 2 * len(server.open) >= server.window - 1:
             server.window += 1 / server.window
-        self._serve_held(server)
+        self._serve_queued(server)
 
     def _ended(self, event: api.AttemptEnded) -> None:
         server = self.servers.get(event.server)
         if server is not None:
-            self._learn(server, event, overtaken=server.out.pop(event.call, None) is None)
+            self._learn(server, event, overtaken=server.open.pop(event.call, None) is None)
         call = self.calls.get(event.call)
         if call is not None and event.attempt == call.attempts - 1:
             call.server, call.admitted = None, False  # another draw: a jam must not be handed round
             self._go_on(call, event)
-        self._serve_held(server)
+        self._serve_queued(server)
 
     def _go_on(self, call: Call, event: api.AttemptEnded) -> None:
         """The attempt of a call has failed: over, wait for the release, or try again."""
@@ -346,7 +346,7 @@
             return self._refuse(call)
         if event.outcome is Outcome.ERROR:
             erring = self.servers.get(event.server)
-            if call.erred is not None and (erring is None or erring.errors < FAULTY):
+            if call.erred is not None and (erring is None or erring.error_rate < ERROR_LIMIT):
                 return self._fail(event.call)  # twice: no server can use it
             call.erred = erring
         if event.outcome in (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED):
@@ -356,7 +356,7 @@
         if max(self.now, call.blocked_until) >= call.deadline:
             self._fail(event.call)
         elif call.blocked_until > self.now:
-            self.out.append(api.Wake(event.call + 1, call.blocked_until))
+            self.actions.append(api.Wake(event.call + 1, call.blocked_until))
         else:
             self._place(call)
 
@@ -372,96 +372,96 @@
         # As a rule an error is the call's and a reset the connection's; again and again, the server's.
         odd = event.outcome is Outcome.RESET and not event.call_over
         if odd or (event.outcome is Outcome.ERROR and not event.callee_busy):
-            server.odd += server.odd_at != self.now  # what comes at once has one cause
-            server.odd_at = self.now
-            failed = server.odd >= ODD_MOST
-            server.errors += GAIN * (1 - server.errors) * (event.outcome is Outcome.ERROR)
+            server.error_run += server.error_at != self.now  # what comes at once has one cause
+            server.error_at = self.now
+            failed = server.error_run >= MAX_ERROR_RUN
+            server.error_rate += GAIN * (1 - server.error_rate) * (event.outcome is Outcome.ERROR)
         if failed:
-            self._failed(server)
+            self._mark_failed(server)
         self._report(server, event.report)
 
     def _report(self, server: Server, report: Mapping[str, float]) -> None:
         """Fold a reported wait, or queue over rate, into the evidence; nonsense is passed over."""
         free, lines = report.get("free", -1.0), report.get("lines", -1.0)
         if 0 <= free <= lines < math.inf:
-            server.free, server.lines, server.told = free, lines, True
-        if 0 <= (wait := api.reported_wait(report)) < math.inf:
+            server.free, server.lines, server.reported = free, lines, True
+        if 0 <= (wait := api.estimate_wait_ms(report)) < math.inf:
             server.alive_at = self.now
-            self._overtaken(server, self.now - QUIET - server.base - wait * 1e6)
-            self._witness(server, (server.base + wait * 1e6) / self._target_time(server))
+            self._overtaken(server, self.now - QUIET - server.min_time - wait * 1e6)
+            self._witness(server, (server.min_time + wait * 1e6) / self._target_time(server))
 
     def _witness(self, server: Server, sample: float) -> None:
-        server.evidence.append(min(sample, SAMPLE_MOST))
-        server.heard_at = self.now
+        server.samples.append(min(sample, MAX_SAMPLE))
+        server.sampled_at = self.now
 
     def _thin(self, rate: float, base: float) -> bool:
         return rate < THIN and (not base or self.settings.proxies * base > self.aim)
 
     def _target_time(self, server: Server) -> float:
         """The set-up time aimed at."""
-        part = AIM_THIN if self._thin(server.rate, server.base) else AIM_PART
-        return server.base + part * max(self.aim - server.base, self.aim / 4)
+        part = AIM_THIN if self._thin(server.rate, server.min_time) else AIM_PART
+        return server.min_time + part * max(self.aim - server.min_time, self.aim / 4)
 
     def _probed(self, event: api.ProbeAnswered) -> None:
         server = self.servers.get(event.server)
         if server is not None and event.ok:
             self._report(server, event.report)
-            if event.took:  # it was asked: what went out well before has had its turn, and its answer another
-                self._overtaken(server, self.now - IN_LINE * event.took)
+            if event.delay:  # it was asked: what went out well before had its turn, and its answer another
+                self._overtaken(server, self.now - IN_LINE * event.delay)
 
     # The control loop: smoothed occupancy and pass share of each server.
 
     def _tick(self) -> None:
-        self.out.append(api.Wake(TICK_TOKEN, self.now + self.t_m))
+        self.actions.append(api.Wake(TICK_TOKEN, self.now + self.t_m))
         self.ticks += 1
         self.rate += max(GAIN, 1 / self.ticks) * (self.arrivals * SECOND / self.t_m - self.rate)
         self.arrivals = 0
         probing = self.settings.may_probe and self.ticks % PROBE_EVERY == 0
         lines = sum(server.lines + 1 for server in self.active)
-        self.freed = sum(s.lines for s in self.active) / (self.length * self.settings.proxies)
+        self.freed = sum(s.lines for s in self.active) / (self.holding_time * self.settings.proxies)
         for server in self.active:
             server.rate = self.rate * (server.lines + 1) / lines
-            self._sample(server)
+            self._take_sample(server)
             if self.ticks % STEPS_PER_F == 0:
-                self._step(server)
-            if probing and server.share < 1 and self.now - server.heard_at > self.quiet:
-                self.out.append(api.Probe(server.name))
-        self._serve_held()
+                self._step_share(server)
+            if probing and server.share < 1 and self.now - server.sampled_at > self.quiet:
+                self.actions.append(api.Probe(server.name))
+        self._serve_queued()
 
-    def _sample(self, server: Server) -> None:
+    def _take_sample(self, server: Server) -> None:
         """One sample each T_m; an interval without evidence changes nothing while the last is fresh."""
         target = self._target_time(server)
-        oldest = min(server.out.values(), default=self.now)
+        oldest = min(server.open.values(), default=self.now)
         if self.now - max(oldest, server.alive_at) > max(self.aim, 2 * target):
-            self._failed(server)  # out for longer than the shortest aim, no sign of life since
-        pending = min((self.now - oldest) / target, SAMPLE_MOST)
+            self._mark_failed(server)  # out for longer than the shortest aim, no sign of life since
+        pending = min((self.now - oldest) / target, MAX_SAMPLE)
         if pending > 1:
             # The server has slowed down or died: what is out there closes the window only when it stands.
-            server.window = max(WINDOW_LEAST, server.window / 2)
+            server.window = max(MIN_WINDOW, server.window / 2)
         quiet = max(self.quiet, 2 * SECOND / max(server.rate, LEAST_RATE))
-        if server.evidence or pending > 1:
-            sample = max(sum(server.evidence) / max(len(server.evidence), 1), pending)
-        elif not server.out and self.now - server.heard_at > quiet:
-            sample = TARGET / 2  # own demand may bring evidence every few seconds only: no sooner
+        if server.samples or pending > 1:
+            sample = max(sum(server.samples) / max(len(server.samples), 1), pending)
+        elif not server.open and self.now - server.sampled_at > quiet:
+            sample = TARGET_RHO / 2  # own demand may bring evidence every few seconds only: no sooner
         else:
             return
-        server.evidence.clear()
-        server.rho = sample if server.rho is None else WEIGHT * sample + (1 - WEIGHT) * server.rho
-        server.fresh = True
+        server.samples.clear()
+        server.rho = sample if server.rho is None else EWMA_WEIGHT * sample + (1 - EWMA_WEIGHT) * server.rho
+        server.has_new_sample = True
 
-    def _step(self, server: Server) -> None:
+    def _step_share(self, server: Server) -> None:
         """On fresh evidence only: to step again on one old sample winds hundreds of proxies up."""
-        if not server.fresh:
+        if not server.has_new_sample:
             return
-        server.fresh = False
-        phi = TARGET / server.rho if server.rho else STEP_MOST
-        server.share = min(1.0, max(P_MIN, server.share * min(max(phi, 1 / STEP_MOST), STEP_MOST)))
+        server.has_new_sample = False
+        phi = TARGET_RHO / server.rho if server.rho else MAX_STEP
+        server.share = min(1.0, max(P_MIN, server.share * min(max(phi, 1 / MAX_STEP), MAX_STEP)))
 
     # Cold servers: a budget of sends within the window of the fall rule.
 
     def _ready(self, server: Server) -> bool:
         """Whether one more set-up may go out: the window, and a cold server's bucket, filled by its lines."""
-        if len(server.out) >= (WINDOW_LEAST if self._thin(server.rate, server.base) else server.window):
+        if len(server.open) >= (MIN_WINDOW if self._thin(server.rate, server.min_time) else server.window):
             return False
         rules = self.settings
         quick = server.alive_at > 0 and (server.rho or ROOM) < ROOM  # not by silence
@@ -470,7 +470,7 @@
         able = self._able(server)
         # Of a server whose lines nobody has told yet, no more is believed than of the smallest.
         lines = server.lines or min((s.lines for s in self.active if s.lines), default=0.0)
-        fair = lines * SECOND / (self.length * rules.proxies) or self.rate / len(self.active)
+        fair = lines * SECOND / (self.holding_time * rules.proxies) or self.rate / len(self.active)
         rate = min(fair, (fair + server.rate) / 2)
         most = COLD_MARGIN * rules.fall_multiple
         budget = max(most * able * rate * rules.fall_window / SECOND, 1 / rules.proxies)  # never nothing
@@ -492,40 +492,40 @@
 
     # Failing servers.
 
-    def unmarked(self, server: Server) -> bool:
-        return server.mark_until <= self.now and not (server.fails >= SUSPECT and server.out)
+    def may_try(self, server: Server) -> bool:
+        return server.mark_until <= self.now and not (server.failures >= SUSPECT_AFTER and server.open)
 
-    def _failed(self, server: Server) -> None:
+    def _mark_failed(self, server: Server) -> None:
         """Skip a server that failed, longer each time in a row; failures within a mark are one."""
-        if server.errors < FAULTY:  # else it is marked for what it wastes, whatever its load
+        if server.error_rate < ERROR_LIMIT:  # else it is marked for what it wastes, whatever its load
             self._witness(server, FULL)
         if server.mark_until <= self.now:
-            server.fails += 1
-            server.window = max(WINDOW_LEAST, server.window / 2)
+            server.failures += 1
+            server.window = max(MIN_WINDOW, server.window / 2)
             mark, most = self.mark, self.mark_most
-            if self._thin(server.rate, server.base) and server.fails >= SUSPECT:
+            if self._thin(server.rate, server.min_time) and server.failures >= SUSPECT_AFTER:
                 mark = max(mark, int(SECOND / max(server.rate, LEAST_RATE)))
                 most = max(most, self.settings.proxies * SECOND // TRIALS)
-            server.mark_until = self.now + min(mark << min(server.fails - 1, 10), most)
+            server.mark_until = self.now + min(mark << min(server.failures - 1, 10), most)
 
     def _overtaken(self, server: Server, before: float) -> None:
         """What went out well before a set-up that stands, or all that waits, is lost: work goes in turn."""
-        for number in [number for number, at in server.out.items() if at < before]:
+        for number in [number for number, at in server.open.items() if at < before]:
             self._call_off(server, number)
 
     def _call_off(self, server: Server, number: int, lost: bool = True) -> None:
         """Late alone is not lost: counted as a loss, it would call off the next that is late, and so on."""
-        del server.out[number]
+        del server.open[number]
         self.loss += GAIN * (1 - self.loss) * lost
         call = self.calls.get(number)
         if call is not None and self.settings.may_cancel:
-            self.out.append(api.Cancel(number, call.attempts - 1))
+            self.actions.append(api.Cancel(number, call.attempts - 1))
 
     # The list.
 
     def _list(self, event: api.ServerList) -> None:
         if event.kind is api.ListKind.REFUSED:
-            return self.out.append(api.FollowList())
+            return self.actions.append(api.FollowList())
         for server in self.servers.values() if event.kind is api.ListKind.COMPLETE else ():
             server.state = ServerState.GONE  # unless listed
         for entry in event.entries:
@@ -533,13 +533,13 @@
             if old is None or entry.started > old.started:
                 new = Server(entry.server, entry.number, entry.started, entry.started)  # its load is unknown
                 if old is not None:
-                    new.out, new.base, new.told = old.out, old.base, old.told
+                    new.open, new.min_time, new.reported = old.open, old.min_time, old.reported
                     new.free, new.lines = old.free, old.lines
                 self.servers[entry.server] = new
             self.servers[entry.server].state = entry.state
-            self.servers[entry.server].told_at = self.now
+            self.servers[entry.server].listed_at = self.now
         for name, server in list(self.servers.items()):
-            if server.state is ServerState.GONE and not server.out and self.now - server.told_at > FORGET:
+            if server.state is ServerState.GONE and not server.open and self.now - server.listed_at > FORGET:
                 del self.servers[name]  # its successors have names of their own: the table would only grow
         self.active = [server for server in self.servers.values() if server.state is ServerState.ACTIVE]
         latest = {server.number: server for server in sorted(self.active, key=lambda s: s.started)}
--- a/wickstep/fleet/edge.py
+++ b/wickstep/fleet/edge.py
@@ -15,7 +15,7 @@
 from wickstep.fleet.clock import SECOND, Clock
 from wickstep.fleet.processor import Processor
 from wickstep.interface import Outcome
-from wickstep.spread.reasons import reason
+from wickstep.spread.reasons import classify_send
 
 if TYPE_CHECKING:
     from wickstep.fleet.model import Model
@@ -95,10 +95,10 @@
             return
         call.server = server
         self.model.sent_at[(self.number, call.number)] = self.clock.now
-        fails = self.controller.servers[action.server].fails
-        self.model.sent(self.number, server, reason(attempt, call.wanted, server.number, fails))
+        fails = self.controller.servers[action.server].failures
+        self.model.sent(self.number, server, classify_send(attempt, call.wanted, server.number, fails))
         self.clock.after(self._way(server), self._arrive, call, attempt, server)
-        self.clock.after(action.limit, self._limit, call, attempt)
+        self.clock.after(action.timeout, self._limit, call, attempt)
 
     def _arrive(self, call: Call, attempt: int, server: Processor) -> None:
         if not self.dead and call.server is server and call.attempts - 1 == attempt and not call.ended:
--- a/wickstep/fleet/model.py
+++ b/wickstep/fleet/model.py
@@ -20,8 +20,8 @@
 from wickstep.fleet.plan import Happening, Kind, Plan
 from wickstep.fleet.processor import Processor
 from wickstep.interface import ServerState
-from wickstep.spread.reasons import Why
-from wickstep.spread.record import BIN_S, Record, Sent, ServerLife
+from wickstep.spread.reasons import SendReason
+from wickstep.spread.record import BIN_S, Record, SentSetUp, ServerTimeline
 
 MakeController = Callable[[api.Settings, int], Controller]
 
@@ -142,9 +142,9 @@
             server.born = born
         self.servers[name] = server
         self.worked[name] = 0
-        life = self.record.servers[name] = ServerLife()
+        life = self.record.servers[name] = ServerTimeline()
         done = int(self.clock.at / BIN_S)
-        life.able, life.idle = [0.0] * done, [0.0] * done
+        life.capacity, life.idle = [0.0] * done, [0.0] * done
         self.clock.after(int(self.random.random() * self.plan.tariff.report_s * SECOND), server.look)
         phase = int(self.random.random() * self.plan.tariff.told_s * SECOND)
         self.clock.after(phase, self._tell_free, server)
@@ -227,8 +227,8 @@
         self.fates[(edge.number, number)] = fate
         edge.take(call)
 
-    def sent(self, softswitch: int, server: Processor, why: Why) -> None:
-        self.record.sent.append(Sent(self.clock.at, softswitch, server.name, why))
+    def sent(self, softswitch: int, server: Processor, why: SendReason) -> None:
+        self.record.sent.append(SentSetUp(self.clock.at, softswitch, server.name, why))
 
     def full(self, server: Processor) -> None:
         self.record.full.append((self.clock.at, server.name))
@@ -255,7 +255,7 @@
             if self.clock.now:
                 done = (worked - self.worked[name]) / (BIN_S * SECOND)
                 there = server.state is ServerState.ACTIVE
-                life.able.append(server.able() if there else 0.0)
+                life.capacity.append(server.able() if there else 0.0)
                 usable = not server.silent and len(server.standing) < server.kind.lines
                 life.idle.append(min(max(1.0 - done, 0.0), 1.0) * usable)
             self.worked[name] = worked
--- a/wickstep/fleet/plan.py
+++ b/wickstep/fleet/plan.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-from wickstep.forms import BadForm, Form, root
+from wickstep.forms import KdlError, KdlNode, parse_root
 
 SOFTSWITCHES_MOST, SERVERS_MOST = 1000, 100
 RATE_MOST = 100_000.0
@@ -86,17 +86,17 @@
 
 
 def read(text: str) -> Plan:
-    """A plan from its text; raises BadForm with what is wrong."""
-    form = root(text, "fleet")
-    name = form.text("")
-    seed = form.whole("seed", 1, 0, 2**31)
-    softswitches = form.whole("softswitches", 200, 1, SOFTSWITCHES_MOST)
-    lasts = form.number("lasts-s", 30, 1, LASTS_MOST)
-    own = form.text("own-number", NUMBERS[0], NUMBERS)
+    """A plan from its text; raises KdlError with what is wrong."""
+    form = parse_root(text, "fleet")
+    name = form.take_text("")
+    seed = form.take_integer("seed", 1, 0, 2**31)
+    softswitches = form.take_integer("softswitches", 200, 1, SOFTSWITCHES_MOST)
+    lasts = form.take_number("lasts-s", 30, 1, LASTS_MOST)
+    own = form.take_text("own-number", NUMBERS[0], NUMBERS)
     kinds: list[Kind] = []
     happenings: list[Happening] = []
     tariff, crowd = Tariff(), Crowd()
-    for child in form.children("servers", "work", "callers", "event"):
+    for child in form.take_children("servers", "work", "callers", "event"):
         if child.name == "servers":
             kinds.append(_kind(child))
         elif child.name == "work":
@@ -105,64 +105,64 @@
             crowd = _crowd(child)
         else:
             happenings.append(_happening(child, lasts))
-        child.done()
-    form.done()
+        child.reject_unread()
+    form.reject_unread()
     if sum(kind.count for kind in kinds) > SERVERS_MOST:
-        raise BadForm(f"more than {SERVERS_MOST} servers")
+        raise KdlError(f"more than {SERVERS_MOST} servers")
     happenings.sort(key=lambda one: one.at)
     return Plan(
         name, seed, softswitches, lasts, tuple(kinds) or (Kind(),), tariff, crowd, tuple(happenings), own
     )
 
 
-def _kind(form: Form) -> Kind:
+def _kind(form: KdlNode) -> Kind:
     plain = Kind()
     return Kind(
-        count=form.whole("", plain.count, 1, SERVERS_MOST),
-        rate=form.number("rate", plain.rate, 0.1, RATE_MOST),
-        lines=form.whole("lines", plain.lines, 1, 1_000_000),
-        queue_s=form.number("queue-s", plain.queue_s, 0.01, 60),
-        way_s=form.number("way-s", plain.way_s, 0, 1),
-        wish=form.number("wish", plain.wish, 0, 100),
-        standing=form.number("standing", plain.standing, 0, 1),
+        count=form.take_integer("", plain.count, 1, SERVERS_MOST),
+        rate=form.take_number("rate", plain.rate, 0.1, RATE_MOST),
+        lines=form.take_integer("lines", plain.lines, 1, 1_000_000),
+        queue_s=form.take_number("queue-s", plain.queue_s, 0.01, 60),
+        way_s=form.take_number("way-s", plain.way_s, 0, 1),
+        wish=form.take_number("wish", plain.wish, 0, 100),
+        standing=form.take_number("standing", plain.standing, 0, 1),
     )
 
 
-def _tariff(form: Form) -> Tariff:
+def _tariff(form: KdlNode) -> Tariff:
     plain = Tariff()
     return Tariff(
-        refusal=form.number("refusal", plain.refusal, 0, 1),
-        answer=form.number("answer", plain.answer, 0, 1),
-        again=form.number("again", plain.again, 0, 1),
-        again_s=form.number("again-s", plain.again_s, 0, 60),
-        told_s=form.number("told-s", plain.told_s, 0.01, 60),
-        report_s=form.number("report-s", plain.report_s, 0.01, 60),
-        report_late_s=form.number("report-late-s", plain.report_late_s, 0, 10),
-        noise=form.number("noise", plain.noise, 0, 1),
-        cold_from=form.number("cold-from", plain.cold_from, 0.01, 1),
-        cold_s=form.number("cold-s", plain.cold_s, 0.1, 600),
+        refusal=form.take_number("refusal", plain.refusal, 0, 1),
+        answer=form.take_number("answer", plain.answer, 0, 1),
+        again=form.take_number("again", plain.again, 0, 1),
+        again_s=form.take_number("again-s", plain.again_s, 0, 60),
+        told_s=form.take_number("told-s", plain.told_s, 0.01, 60),
+        report_s=form.take_number("report-s", plain.report_s, 0.01, 60),
+        report_late_s=form.take_number("report-late-s", plain.report_late_s, 0, 10),
+        noise=form.take_number("noise", plain.noise, 0, 1),
+        cold_from=form.take_number("cold-from", plain.cold_from, 0.01, 1),
+        cold_s=form.take_number("cold-s", plain.cold_s, 0.1, 600),
     )
 
 
-def _crowd(form: Form) -> Crowd:
+def _crowd(form: KdlNode) -> Crowd:
     plain = Crowd()
     return Crowd(
-        rate=form.number("rate", plain.rate, 0.1, RATE_MOST),
-        aim_s=form.number("aim-s", plain.aim_s, 0.05, 60),
-        wait_s=form.number("wait-s", plain.wait_s, 0.1, 120),
-        hold_s=form.number("hold-s", plain.hold_s, 0.01, 3600),
-        spread=form.number("spread", plain.spread, 1, 1000),
-        uneven=form.number("uneven", plain.uneven, 0, 3),
-        again=form.number("again", plain.again, 0, 1),
+        rate=form.take_number("rate", plain.rate, 0.1, RATE_MOST),
+        aim_s=form.take_number("aim-s", plain.aim_s, 0.05, 60),
+        wait_s=form.take_number("wait-s", plain.wait_s, 0.1, 120),
+        hold_s=form.take_number("hold-s", plain.hold_s, 0.01, 3600),
+        spread=form.take_number("spread", plain.spread, 1, 1000),
+        uneven=form.take_number("uneven", plain.uneven, 0, 3),
+        again=form.take_number("again", plain.again, 0, 1),
     )
 
 
-def _happening(form: Form, lasts: float) -> Happening:
+def _happening(form: KdlNode, lasts: float) -> Happening:
     plain = Happening("", 0)
     return Happening(
-        what=form.text("", None, EVENTS),
-        at=form.number("at", None, 0, lasts),
-        for_s=form.number("for-s", plain.for_s, 0, lasts),
-        size=form.number("size", plain.size, 0.01, 1000),
-        part=form.number("part", plain.part, 0, 1),
+        what=form.take_text("", None, EVENTS),
+        at=form.take_number("at", None, 0, lasts),
+        for_s=form.take_number("for-s", plain.for_s, 0, lasts),
+        size=form.take_number("size", plain.size, 0.01, 1000),
+        part=form.take_number("part", plain.part, 0, 1),
     )
--- a/wickstep/fleet/report.py
+++ b/wickstep/fleet/report.py
@@ -40,7 +40,7 @@
             f"{waits[len(waits) // 2]:.3f}", f"{waits[99 * len(waits) // 100]:.2f}",
         ])  # fmt: skip
     return [
-        *spread.aligned(table), "", *spread.lines(outcome.record, phases(outcome.plan)),
+        *spread.align_columns(table), "", *spread.format_lines(outcome.record, phases(outcome.plan)),
         f"probes {outcome.probes}",
     ]  # fmt: skip
 
@@ -64,4 +64,4 @@
 
 
 def page(outcome: Outcome, title: str, found: Sequence[Phase] | None = None) -> str:
-    return spread.page(title, outcome.record, found or phases(outcome.plan))
+    return spread.render_page(title, outcome.record, found or phases(outcome.plan))
--- a/wickstep/forms.py
+++ b/wickstep/forms.py
@@ -16,12 +16,12 @@
 TEXT_MOST = 64 * 1024  # characters
 
 
-class BadForm(ValueError):
+class KdlError(ValueError):
     """A text that is none of this form; says where and why."""
 
 
-class Form:
-    """One node: its arguments and properties are taken one by one, and `done` finds what nobody has taken."""
+class KdlNode:
+    """One node: arguments and properties are taken one by one, `reject_unread` finds what is left."""
 
     def __init__(self, node: Node) -> None:
         self.name = node.name
@@ -29,66 +29,66 @@
         self._props = dict(node.props)
         self._nodes = list(node.nodes)
 
-    def wrong(self, why: str) -> BadForm:
-        return BadForm(f"{self.name}: {why}")
+    def error(self, why: str) -> KdlError:
+        return KdlError(f"{self.name}: {why}")
 
-    def text(self, name: str, default: str | None = None, choices: tuple[str, ...] = ()) -> str:
+    def take_text(self, name: str, default: str | None = None, choices: tuple[str, ...] = ()) -> str:
         """A property that is text, or the next argument where `name` is empty."""
         value = self._take(name, default)
         if not isinstance(value, str) or not value or (choices and value not in choices):
-            raise self.wrong(f"{name or 'argument'}: {value!r}, {' or '.join(choices) or 'a text is wanted'}")
+            raise self.error(f"{name or 'argument'}: {value!r}, {' or '.join(choices) or 'a text is wanted'}")
         return value
 
-    def number(self, name: str, default: float | None, least: float, most: float) -> float:
+    def take_number(self, name: str, default: float | None, least: float, most: float) -> float:
         """A property that is a number within bounds, or the next argument where `name` is empty."""
         value = self._take(name, default)
         if isinstance(value, bool) or not isinstance(value, int | float) or not least <= value <= most:
-            raise self.wrong(f"{name or 'argument'}: {value!r} is no number from {least:g} to {most:g}")
+            raise self.error(f"{name or 'argument'}: {value!r} is no number from {least:g} to {most:g}")
         return float(value)
 
-    def whole(self, name: str, default: int | None, least: int, most: int) -> int:
+    def take_integer(self, name: str, default: int | None, least: int, most: int) -> int:
         """The same for a whole number."""
-        value = self.number(name, default, least, most)
+        value = self.take_number(name, default, least, most)
         if not value.is_integer():
-            raise self.wrong(f"{name or 'argument'}: {value:g} is no whole number")
+            raise self.error(f"{name or 'argument'}: {value:g} is no whole number")
         return int(value)
 
-    def given(self) -> set[str]:
+    def unread_properties(self) -> set[str]:
         """The properties that nobody has taken yet."""
         return set(self._props)
 
-    def children(self, *names: str) -> Iterator[Form]:
+    def take_children(self, *names: str) -> Iterator[KdlNode]:
         """The nodes of its block, in order; each must have one of these names."""
         nodes, self._nodes = self._nodes, []
         for node in nodes:
             if node.name not in names:
-                raise self.wrong(f"{node.name} has no place here; there are {', '.join(names)}")
-            yield Form(node)
+                raise self.error(f"{node.name} has no place here; there are {', '.join(names)}")
+            yield KdlNode(node)
 
-    def done(self) -> None:
-        """Raises BadForm if anything is left."""
+    def reject_unread(self) -> None:
+        """Raises KdlError if anything is left."""
         left = [*map(repr, self._args), *sorted(self._props), *(node.name for node in self._nodes)]
         if left:
-            raise self.wrong(f"knows no {', '.join(left)}")
+            raise self.error(f"knows no {', '.join(left)}")
 
     def _take(self, name: str, default: Any) -> Any:
         found = self._props.pop(name, default) if name else None
         value = found if name else self._args.pop(0) if self._args else default
         if value is None:
-            raise self.wrong(f"{name or 'an argument'} is missing")
+            raise self.error(f"{name or 'an argument'} is missing")
         return value
 
 
-def root(text: str, name: str) -> Form:
-    """The one node of a text, which has to have this name; raises BadForm."""
+def parse_root(text: str, name: str) -> KdlNode:
+    """The one node of a text, which has to have this name; raises KdlError."""
     if len(text) > TEXT_MOST:
-        raise BadForm(f"{len(text)} characters, {TEXT_MOST} at most")
+        raise KdlError(f"{len(text)} characters, {TEXT_MOST} at most")
     try:
         nodes = Parser().parse(text).nodes
     except ParseError as trouble:
-        raise BadForm(f"not KDL: {trouble}") from None
+        raise KdlError(f"not KDL: {trouble}") from None
     except (ValueError, ArithmeticError, RecursionError, IndexError) as trouble:  # 1e999, endless nesting
-        raise BadForm(f"not KDL: {trouble!r}") from None
+        raise KdlError(f"not KDL: {trouble!r}") from None
     if len(nodes) != 1 or nodes[0].name != name:
-        raise BadForm(f"one node `{name}` is wanted, and nothing else")
-    return Form(nodes[0])
+        raise KdlError(f"one node `{name}` is wanted, and nothing else")
+    return KdlNode(nodes[0])
--- a/wickstep/interface.py
+++ b/wickstep/interface.py
@@ -11,7 +11,7 @@
 from enum import Enum
 from typing import Any
 
-PEER_MOST = 256  # bytes of one message between softswitches
+MAX_PEER_MESSAGE = 256  # bytes of one message between softswitches
 
 
 class Effect(Enum):
@@ -56,8 +56,8 @@
     late_worth: float
     effect: Effect
     allowed: frozenset[int] | None  # server numbers this class may use; None: any
-    length: int = 0  # mean length of a call; 0: unknown
-    give_up: int = 0  # how long a caller keeps trying, from its first try; 0: unknown
+    holding_time: int = 0  # mean length of a call; 0: unknown
+    give_up_after: int = 0  # how long a caller keeps trying, from its first try; 0: unknown
 
 
 @dataclass(slots=True, frozen=True)
@@ -101,7 +101,7 @@
         _require(self.fall_multiple > 0, "fall_multiple", "must be above 0")
         for item in self.classes:
             _require(item.aim > 0, "aim", "must be above 0")
-            _require(item.length >= 0, "length", "must not be negative")
+            _require(item.holding_time >= 0, "length", "must not be negative")
             _require(item.worth >= 0, "worth", "must not be negative")
             _require(0 <= item.late_worth <= 1, "late_worth", "must lie between 0 and 1")
         for tenant in self.tenants:
@@ -114,26 +114,26 @@
         return min(item.aim for item in self.classes)
 
     @property
-    def longest_ring(self) -> int:
+    def max_redial_time(self) -> int:
         """How long a caller may keep dialling for one call, in nanoseconds."""
-        return max(item.give_up for item in self.classes)
+        return max(item.give_up_after for item in self.classes)
 
     @property
-    def mean_length(self) -> float:
+    def mean_holding_time(self) -> float:
         """Of a call, in nanoseconds; 0 where it is not told."""
-        return sum(item.length for item in self.classes) / len(self.classes)
+        return sum(item.holding_time for item in self.classes) / len(self.classes)
 
     @property
-    def least_worth(self) -> float:
+    def min_worth(self) -> float:
         return min(item.worth for item in self.classes)
 
     @property
-    def least_yield(self) -> float:
+    def min_yield(self) -> float:
         """What a line earns in a nanosecond from the calls that earn least; 0 where lengths are not told."""
-        return min(item.worth / item.length if item.length else 0.0 for item in self.classes)
+        return min(item.worth / item.holding_time if item.holding_time else 0.0 for item in self.classes)
 
 
-def reported_wait(report: Mapping[str, float]) -> float:
+def estimate_wait_ms(report: Mapping[str, float]) -> float:
     """Milliseconds at a processor: as told, or what waits there over what it takes; below 0 if not known."""
     wait, waiting, rate = (report.get(name, -1.0) for name in ("wait_ms", "waiting", "can_take"))
     return 1000 * waiting / rate if wait < 0 <= waiting and rate > 0 else wait
@@ -170,14 +170,14 @@
 class NewCall:
     call: int
     klass: int
-    patience: int  # how long the caller waits in this try
+    max_wait: int  # how long the caller waits in this try
     first_choice: int  # number of the server of first choice
     repeat: bool = False  # the caller dialled again
     transit: bool = False  # handed over by another proxy: only the first choice will do
     candidates: tuple[int, ...] = ()  # numbers of the servers it may go to, in order; none: any, as before
     tenant: int = -1  # its place in the settings; -1: none that they know
     callee: str = ""  # the number called; empty: unknown
-    advice: int = -1  # number of the server that had most room at a centre's last look, seconds ago; -1: none
+    advised_server: int = -1  # server with most room at a centre's last look, seconds ago; -1: none
 
 
 @dataclass(slots=True, frozen=True)
@@ -190,7 +190,7 @@
     call: int
     attempt: int
     server: str
-    took: int
+    delay: int
 
 
 @dataclass(slots=True, frozen=True)
@@ -199,7 +199,7 @@
     attempt: int
     server: str
     outcome: Outcome
-    took: int
+    delay: int
     call_over: bool
     callee_busy: bool  # all lines of the number called are taken
     report: Mapping[str, float]  # wait_ms, waiting, can_take, free, lines; whichever are known
@@ -210,7 +210,7 @@
 class ProbeAnswered:
     server: str
     ok: bool
-    took: int
+    delay: int
     report: Mapping[str, float]
 
 
@@ -222,7 +222,7 @@
 @dataclass(slots=True, frozen=True)
 class PeerMessage:
     sender: int  # ordinal of the softswitch that sent it
-    payload: bytes  # at most `PEER_MOST`; untrusted
+    payload: bytes  # at most `MAX_PEER_MESSAGE`; untrusted
 
 
 Event = (
@@ -245,7 +245,7 @@
 class Send:
     call: int
     server: str
-    limit: int
+    timeout: int
 
 
 @dataclass(slots=True, frozen=True)
@@ -279,7 +279,7 @@
 @dataclass(slots=True, frozen=True)
 class Message:
     target: int | None  # ordinal of the receiver; None: every peer
-    payload: bytes  # at most `PEER_MOST`
+    payload: bytes  # at most `MAX_PEER_MESSAGE`
 
 
 @dataclass(slots=True, frozen=True)
--- a/wickstep/net/__init__.py
+++ b/wickstep/net/__init__.py
@@ -12,7 +12,7 @@
 from enum import Enum
 
 
-class Malformed(ValueError):
+class MalformedMessage(ValueError):
     """A peer has sent what its protocol does not allow."""
 
 
@@ -54,10 +54,10 @@
     first_choice: int = -1
     width: int = 1  # lines that the call takes
     repeat: bool = False  # the caller dialled again
-    again: bool = False  # the call was cut and comes again
+    after_cut: bool = False  # the call was cut and comes again
     tenant: str = ""  # as the caller names it; empty: none
-    advice: int = -1  # number of the server that a centre advises; -1: none
-    passed_over: int = 0  # fields that made no sense, and that a call can be served without
+    advised_server: int = -1  # number of the server that a centre advises; -1: none
+    ignored_fields: int = 0  # fields that made no sense, and that a call can be served without
 
 
 @dataclass(slots=True, frozen=True)
@@ -81,7 +81,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ReleaseHeard:
+class ReleaseComplete:
     call: int
 
 
@@ -106,4 +106,4 @@
     report: Report
 
 
-Message = SetUp | Progress | Answer | Release | ReleaseHeard | Test | TestResult | GroupState
+Message = SetUp | Progress | Answer | Release | ReleaseComplete | Test | TestResult | GroupState
--- a/wickstep/net/bulletin.py
+++ b/wickstep/net/bulletin.py
@@ -21,7 +21,7 @@
 
 from wickstep.interface import ServerState
 from wickstep.net import links
-from wickstep.recovery import phases
+from wickstep.recovery import jitter
 
 log = logging.getLogger(__name__)
 
@@ -31,34 +31,34 @@
 STATES = {"Ready": ServerState.ACTIVE, "Terminating": ServerState.DRAINING, "Gone": ServerState.GONE}
 
 
-class BadAnswer(ValueError):
+class BadResponse(ValueError):
     """What came from the bulletin cannot be read."""
 
 
 @dataclass(slots=True, frozen=True)
-class Listed:
+class ListedServer:
     """One line of the list."""
 
     host: str
-    dial: str
+    address: str
     number: int
     state: ServerState
     born_ms: int  # Unix time of a late start; 0: long ago
 
 
 @dataclass(slots=True, frozen=True)
-class Roster:
+class ListUpdate:
     """One event of the bulletin."""
 
     number: int
-    whole: bool
-    hosts: tuple[Listed, ...]
+    is_complete: bool
+    listed_servers: tuple[ListedServer, ...]
 
 
 UNREADABLE = (LookupError, TypeError, ValueError, AttributeError, ArithmeticError)  # 1e999 is JSON
 
 
-def read_events(answer: Any) -> tuple[int, list[Roster]]:
+def read_events(answer: Any) -> tuple[int, list[ListUpdate]]:
     """The last number and the events of `known` or of an answer.
 
     An event or a line that cannot be read is passed over, loudly: asked for again it would come again, and
@@ -67,7 +67,7 @@
     try:
         last, items = int(answer["no"]), list(answer["items"])
     except UNREADABLE as trouble:
-        raise BadAnswer(f"no list of events: {trouble!r}") from trouble
+        raise BadResponse(f"no list of events: {trouble!r}") from trouble
     events = []
     for item in items:
         try:
@@ -76,7 +76,7 @@
                 hosts = _readable(roster["hosts"])
                 # Of a whole list with a hole in it, nobody is gone for not being on it.
                 whole = bool(roster.get("whole")) and len(hosts) == len(roster["hosts"])
-                events.append(Roster(int(item["no"]), whole, hosts))
+                events.append(ListUpdate(int(item["no"]), whole, hosts))
         except UNREADABLE as trouble:
             log.error("an event is passed over: %r", trouble)
     return last, events
@@ -92,7 +92,7 @@
     return max(last - after, 0) - sum(after < number <= last for number in numbers)
 
 
-def _readable(lines: Any) -> tuple[Listed, ...]:
+def _readable(lines: Any) -> tuple[ListedServer, ...]:
     found = []
     for line in lines:
         try:
@@ -102,10 +102,10 @@
     return tuple(found)
 
 
-def _listed(line: Any) -> Listed:
-    return Listed(
+def _listed(line: Any) -> ListedServer:
+    return ListedServer(
         host=str(line["host"]),
-        dial=str(line["dial"]),
+        address=str(line["dial"]),
         number=int(line["block"]),
         state=STATES[line["health"]],
         born_ms=int(line.get("born_ms") or 0),
@@ -119,7 +119,7 @@
         self,
         where: str,
         after: int,
-        hand_on: Callable[[Roster], None],
+        hand_on: Callable[[ListUpdate], None],
         random: Random | None = None,
         grace_s: float = 0.0,
     ) -> None:
@@ -131,13 +131,14 @@
         self._sock: socket.socket | None = None
         self._to = ""  # where that leads
         self._rest = b""
-        self._lock = threading.Lock()  # over where to call and the socket, which `move` reaches into
+        # over where to call and the socket, which `change_address` reaches into
+        self._lock = threading.Lock()
         self._moved = threading.Event()
 
     def start(self) -> None:
-        links.spawn(self._follow)
+        links.start_thread(self._follow)
 
-    def move(self, where: str) -> None:
+    def change_address(self, where: str) -> None:
         """Follow the bulletin at another address, from the number that was reached.
 
         The thread may be in the middle of a call that will never be answered: it is woken, since what the new
@@ -152,29 +153,29 @@
 
     def _follow(self) -> None:
         # A fleet that comes back together must not call together, nor in step from then on.
-        self._moved.wait(phases.first_list_s(self._random, self._after > 0, self._grace_s))
+        self._moved.wait(jitter.draw_list_delay_s(self._random, self._after > 0, self._grace_s))
         while True:
             try:
-                self.once()
+                self.poll_once()
             except Exception as trouble:  # without this thread no drain would be heard of ever again
                 log.warning("bulletin: %r", trouble)
                 self._hang_up()
                 self._moved.wait(PAUSE_S)  # a new address is called at once
                 self._moved.clear()
 
-    def once(self) -> None:
+    def poll_once(self) -> None:
         """One call; what it brought is handed on, which must not wait."""
-        self._held_ms = phases.list_held_ms(self._random)
+        self._held_ms = jitter.draw_list_hold_ms(self._random)
         answer = self._get(f"/bulletins?after={self._after}&patience={self._held_ms}")
         last, events = read_events(answer)
         gap = (self._after, last, missing_after(answer, self._after))
         if gap[2] and gap != self._gap:
             # A drain may be among them: asked for again. What is missing twice is not there to be had.
             self._gap = gap
-            raise BadAnswer(f"{gap[2]} events after {self._after} are missing")
-        with self._lock:  # against `move`, after which the old address has nothing to say any more
+            raise BadResponse(f"{gap[2]} events after {self._after} are missing")
+        with self._lock:  # against `change_address`, after which the old address has nothing to say any more
             if self._to != self._where:
-                raise BadAnswer("moved while this was on its way")
+                raise BadResponse("moved while this was on its way")
             for event in sorted(events, key=lambda event: event.number):
                 if event.number > self._after:
                     self._hand_on(event)
@@ -194,12 +195,12 @@
         if self._sock is not None and self._to == where:
             return self._sock
         self._hang_up()
-        sock = socket.create_connection(links.address(where), timeout=GRACE_S)
+        sock = socket.create_connection(links.parse_address(where), timeout=GRACE_S)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         with self._lock:
             self._sock, self._to = sock, where
             if where != self._where:
-                raise BadAnswer("moved while connecting")
+                raise BadResponse("moved while connecting")
         return sock
 
     def _get(self, path: str) -> Any:
@@ -211,7 +212,7 @@
         head = self._until(b"\r\n\r\n", until).decode("latin-1").split("\r\n")
         status = head[0].split(" ", 2)
         if len(status) < 2 or not status[0].startswith("HTTP/1.") or status[1] != "200":
-            raise BadAnswer(f"status line {head[0]!r}")
+            raise BadResponse(f"status line {head[0]!r}")
         fields = {
             name.strip().lower(): value.strip()
             for name, _, value in (line.partition(":") for line in head[1:] if line)
@@ -225,15 +226,15 @@
         try:
             return ujson.loads(body)
         except ValueError as trouble:
-            raise BadAnswer("the body is not JSON") from trouble
+            raise BadResponse("the body is not JSON") from trouble
 
     def _size(self, text: str, base: int) -> int:
         try:
             size = int(text, base)
         except ValueError as trouble:
-            raise BadAnswer(f"length {text!r}") from trouble
+            raise BadResponse(f"length {text!r}") from trouble
         if not 0 <= size <= ANSWER_MOST:
-            raise BadAnswer(f"length {size}")
+            raise BadResponse(f"length {size}")
         return size
 
     def _chunks(self, until: float) -> bytes:
@@ -246,12 +247,12 @@
                 return body
             body += self._exactly(size, until)
             if self._exactly(2, until) != b"\r\n" or len(body) > ANSWER_MOST:
-                raise BadAnswer("a chunk does not end where it should")
+                raise BadResponse("a chunk does not end where it should")
 
     def _until(self, mark: bytes, until: float) -> bytes:
         while mark not in self._rest:
-            if len(self._rest) > links.CHUNK:
-                raise BadAnswer("a head without end")
+            if len(self._rest) > links.READ_SIZE:
+                raise BadResponse("a head without end")
             self._more(until)
         found, _, self._rest = self._rest.partition(mark)
         return found
@@ -264,12 +265,12 @@
 
     def _more(self, until: float) -> None:
         if self._sock is None:
-            raise BadAnswer("hung up")
+            raise BadResponse("hung up")
         left = until - time.monotonic()
         if left <= 0:
-            raise BadAnswer("no whole answer in time")
+            raise BadResponse("no whole answer in time")
         self._sock.settimeout(left)
-        data = self._sock.recv(links.CHUNK)
+        data = self._sock.recv(links.READ_SIZE)
         if not data:
-            raise BadAnswer("closed by the bulletin")
+            raise BadResponse("closed by the bulletin")
         self._rest += data
