--- a/wickstep/net/codec.py
+++ b/wickstep/net/codec.py
@@ -1,8 +1,8 @@
 """The binary protocol: bytes to message objects and back.
 
 This file owns every code, type number and parameter of the wire; none is named anywhere else. It must never
-touch a socket, keep state about a call or read a clock, and it must never raise anything but `Malformed` on
-what a peer has sent.
+touch a socket, keep state about a call or read a clock, and never raise anything but `MalformedMessage`
+on what a peer has sent.
 """
 
 from __future__ import annotations
@@ -14,20 +14,20 @@
 from wickstep.net import (
     Answer,
     GroupState,
-    Malformed,
+    MalformedMessage,
     Message,
     Note,
     Progress,
     Reason,
     Release,
-    ReleaseHeard,
+    ReleaseComplete,
     Report,
     SetUp,
     Test,
     TestResult,
 )
 
-MOST = 16 * 1024  # of a whole message, its length field included
+MAX_MESSAGE = 16 * 1024  # of a whole message, its length field included
 HEAD = struct.Struct(">HBQ")
 PARAMETER = struct.Struct(">BH")
 LENGTH_FIELD = 2
@@ -106,8 +106,8 @@
         while len(self._rest) >= LENGTH_FIELD:
             length = int.from_bytes(self._rest[:LENGTH_FIELD], "big")
             # The length is judged before the rest is awaited: a wrong one must not make us hold 64 KiB.
-            if not LEAST <= length <= MOST - LENGTH_FIELD:
-                raise Malformed(f"a message of length {length}")
+            if not LEAST <= length <= MAX_MESSAGE - LENGTH_FIELD:
+                raise MalformedMessage(f"a message of length {length}")
             end = LENGTH_FIELD + length
             if len(self._rest) < end:
                 return
@@ -123,7 +123,7 @@
     values = _parameters(raw)
     cause = values.get(P_CAUSE, b"")
     if len(cause) > 1:
-        raise Malformed("a cause of more than one byte")
+        raise MalformedMessage("a cause of more than one byte")
     match kind:
         case Kind.SET_UP:
             return _set_up(call, values)
@@ -131,11 +131,11 @@
             return Progress(call)
         case Kind.ANSWER:
             if not values.get(P_DESCRIPTION):
-                raise Malformed("an answer without a description")
+                raise MalformedMessage("an answer without a description")
             return Answer(call, values[P_DESCRIPTION])
         case Kind.RELEASE:
             if not cause:
-                raise Malformed("a release without a cause")
+                raise MalformedMessage("a release without a cause")
             return Release(
                 call,
                 REASONS.get(cause[0], Reason.FAILED),
@@ -144,14 +144,14 @@
                 _report(values),
             )
         case Kind.RELEASE_HEARD:
-            return ReleaseHeard(call)
+            return ReleaseComplete(call)
         case Kind.TEST:
             return Test(call, cause == b"\x01")
         case Kind.TEST_RESULT:
             return TestResult(call, cause == b"\x01", _report(values))
         case Kind.GROUP_STATE:
             return GroupState(call, _report(values))
-    raise Malformed(f"a message of type {kind}")
+    raise MalformedMessage(f"a message of type {kind}")
 
 
 def _parameters(raw: bytes) -> dict[int, bytes]:
@@ -159,11 +159,11 @@
     position, end = HEAD.size, len(raw)
     while position < end:
         if position + PARAMETER.size > end:
-            raise Malformed("a parameter is cut off")
+            raise MalformedMessage("a parameter is cut off")
         code, length = PARAMETER.unpack_from(raw, position)
         position += PARAMETER.size
         if position + length > end:
-            raise Malformed(f"parameter {code} is cut off")
+            raise MalformedMessage(f"parameter {code} is cut off")
         values[code] = raw[position : position + length]
         position += length
     return values
@@ -173,7 +173,7 @@
     try:
         return values.get(code, b"").decode()
     except UnicodeDecodeError as trouble:
-        raise Malformed(f"parameter {code} is not text") from trouble
+        raise MalformedMessage(f"parameter {code} is not text") from trouble
 
 
 def _number(values: dict[int, bytes], code: int, absent: int = 0) -> int:
@@ -182,14 +182,14 @@
         return absent
     # At most ten digits: Python would read thousands, at quadratic cost.
     if not (text.isascii() and text.isdecimal() and len(text) <= 10):
-        raise Malformed(f"parameter {code} is not a number")
+        raise MalformedMessage(f"parameter {code} is not a number")
     return int(text)
 
 
 def _pairs(values: dict[int, bytes], code: int) -> list[bytes]:
     pairs = values.get(code, b"").split(b";", FIGURES_MOST)
     if len(pairs) > FIGURES_MOST:
-        raise Malformed(f"parameter {code} holds too many figures")
+        raise MalformedMessage(f"parameter {code} holds too many figures")
     return pairs
 
 
@@ -200,16 +200,16 @@
         try:
             pair = raw.decode()
         except UnicodeDecodeError as trouble:
-            raise Malformed(f"parameter {code} is not text") from trouble
+            raise MalformedMessage(f"parameter {code} is not text") from trouble
         name, colon, value = pair.partition(":")
         if not colon:
-            raise Malformed(f"parameter {code} holds a figure without a value")
+            raise MalformedMessage(f"parameter {code} holds a figure without a value")
         if value in ("", "-"):
             continue
         try:
             figures[name] = float(value)
         except ValueError as trouble:
-            raise Malformed(f"parameter {code} holds a figure that is no number") from trouble
+            raise MalformedMessage(f"parameter {code} holds a figure that is no number") from trouble
     return figures
 
 
@@ -246,7 +246,7 @@
     figures = {"dest": -1.0, "width": 1.0, "again": 0.0, **_figures(others, P_FIGURES)}
     # `inf` and `nan` are no whole numbers.
     if not all(figures[name].is_integer() for name in ("dest", "width", "again")):
-        raise Malformed("a figure is no whole number")
+        raise MalformedMessage("a figure is no whole number")
     return SetUp(
         call=call,
         klass=_text(values, P_CLASS),
@@ -256,10 +256,10 @@
         first_choice=int(figures["dest"]),
         width=int(figures["width"]),
         repeat=_text(values, P_REPEAT) == "1",
-        again=figures["again"] == 1.0,
+        after_cut=figures["again"] == 1.0,
         tenant=hints[0] or "",
-        advice=-1 if hints[1] is None else hints[1],
-        passed_over=hints.count(None),
+        advised_server=-1 if hints[1] is None else hints[1],
+        ignored_fields=hints.count(None),
     )
 
 
@@ -277,10 +277,10 @@
                 (P_REPEAT, b"1" if message.repeat else b""),
                 (P_TENANT, message.tenant.encode()),
             ]
-            figures = f"dest:{message.first_choice}" + ";again:1" * message.again
-            if message.advice >= 0:
-                figures += f";via:{message.advice}"
-            if message.first_choice >= 0 or message.advice >= 0:
+            figures = f"dest:{message.first_choice}" + ";again:1" * message.after_cut
+            if message.advised_server >= 0:
+                figures += f";via:{message.advised_server}"
+            if message.first_choice >= 0 or message.advised_server >= 0:
                 values.append((P_FIGURES, figures.encode()))
         case Progress():
             kind = Kind.PROGRESS
@@ -295,7 +295,7 @@
             if message.note:
                 values.append((P_NOTE, message.note.value.encode()))
             values += _report_out(message.report)
-        case ReleaseHeard():
+        case ReleaseComplete():
             kind = Kind.RELEASE_HEARD
         case Test():
             kind = Kind.TEST
@@ -308,9 +308,9 @@
             values = _report_out(message.report)
     # An empty value is left out: what goes on is never longer than what came, so it always fits.
     body = b"".join(PARAMETER.pack(code, len(value)) + value for code, value in values if value)
-    whole = HEAD.pack(LEAST + len(body), kind, message.call) + body if len(body) < MOST else b""
-    if not whole or len(whole) > MOST:
-        raise Malformed("a message over 16 KiB")
+    whole = HEAD.pack(LEAST + len(body), kind, message.call) + body if len(body) < MAX_MESSAGE else b""
+    if not whole or len(whole) > MAX_MESSAGE:
+        raise MalformedMessage("a message over 16 KiB")
     return whole
 
 
--- a/wickstep/net/links.py
+++ b/wickstep/net/links.py
@@ -22,43 +22,43 @@
 from queue import SimpleQueue
 from typing import Any, Protocol
 
-from wickstep.net import Malformed, Message, Release, SetUp, codec
+from wickstep.net import MalformedMessage, Message, Release, SetUp, codec
 
 log = logging.getLogger(__name__)
 
 TIMEVAL = struct.Struct("@ll")
-STACK = 128 * 1024  # a thread or two a connection, hundreds of connections
+THREAD_STACK = 128 * 1024  # a thread or two a connection, hundreds of connections
 THREAD_S = 5.0  # a machine that has no thread left for a new one may have one soon
 OUTBOX_MOST = 256 * 1024  # bytes; a server that leaves so much unread is not reading
 CALLER_OUTBOX_MOST = 64 * 1024  # the same for a caller: hundreds of them must fit the memory
 SEND_BUFFER = 16 * 1024
-AHEAD_MOST = 8  # shares of one connection's messages that may wait for the loop
-SHARE = codec.MOST // AHEAD_MOST  # bytes: so eight small messages wait, or one of 16 KiB
-CHUNK = 16 * 1024
-CALLER_CHUNK = 4 * 1024  # of a caller: each of hundreds that push holds one while its reader waits
+MAX_SHARES_AHEAD = 8  # shares of one connection's messages that may wait for the loop
+SHARE = codec.MAX_MESSAGE // MAX_SHARES_AHEAD  # bytes: so eight small messages wait, or one of 16 KiB
+READ_SIZE = 16 * 1024
+CALLER_READ_SIZE = 4 * 1024  # of a caller: each of hundreds that push holds one while its reader waits
 BACKLOG = 256
 BIND_S = 3.0
-FIRST_MS = 2000  # a caller that has sent nothing at all by then is closed: hundreds connect and stay silent
-WHOLE_MS = 2200  # and so is one whose message, once begun, is not whole by then: some take two seconds
-FIRST_WHOLE_MS = 2700  # after the connect: by then the first one has to be whole, whenever it was begun
+FIRST_BYTE_TIMEOUT_MS = 2000  # a caller that has sent nothing by then is closed: hundreds never speak
+MESSAGE_TIMEOUT_MS = 2200  # and so is one whose message, once begun, is not whole by then: some take 2 s
+FIRST_MESSAGE_TIMEOUT_MS = 2700  # after the connect: by then the first one has to be whole, whenever begun
 TURN_MS = 20  # how soon a thread at a shared socket sees that it has been told to leave
 LOOK_MS = 50  # how soon the common reader sees a new connection
 ANSWER_MS = 200  # the same for a server: what follows would be taken for the message's rest
 
 
-def address(text: str) -> tuple[str, int]:
+def parse_address(text: str) -> tuple[str, int]:
     host, _, port = text.rpartition(":")
     if not 0 <= int(port) <= 65535:  # connect() would raise what no OSError is
         raise ValueError(f"port {port}")
     return host, int(port)
 
 
-def spawn(target: Callable[[], None], patience: float = THREAD_S) -> None:
-    """Start a thread, within `patience` seconds; RuntimeError if the machine has none by then.
+def start_thread(target: Callable[[], None], timeout_s: float = THREAD_S) -> None:
+    """Start a thread, within `timeout_s` seconds; RuntimeError if the machine has none by then.
 
     Many softswitches may share a machine and its limit on threads, and all of them start together.
     """
-    until = time.monotonic() + patience
+    until = time.monotonic() + timeout_s
     while True:
         try:
             return threading.Thread(target=target, daemon=True).start()
@@ -69,7 +69,7 @@
             time.sleep(0.05)
 
 
-def bound(where: str) -> socket.socket:
+def bind_socket(where: str) -> socket.socket:
     """A socket at that address, to listen on; OSError if it is still another's after `BIND_S`."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -77,7 +77,7 @@
     until = time.monotonic() + BIND_S
     while True:
         try:
-            sock.bind(address(where))
+            sock.bind(parse_address(where))
             return sock
         except OSError as trouble:
             if trouble.errno != errno.EADDRINUSE or time.monotonic() > until:
@@ -90,7 +90,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Came:
+class Received:
     link: Link
     message: Message
     shares: int = 1  # of what its connection may have waiting for the loop
@@ -117,7 +117,7 @@
 Inbox = SimpleQueue[Any]  # its put may be called in a signal handler, which queue.Queue's may not
 
 
-class Dialect(Protocol):
+class WireCodec(Protocol):
     """The protocol of one connection: its reader feeds it, the loop has it encode. Neither may wait in it."""
 
     @property
@@ -128,7 +128,7 @@
         """Whether a part of a message is there."""
 
     def feed(self, data: bytes) -> Iterator[Message]:
-        """What is whole now; raises Malformed, after which nothing on this connection can be trusted."""
+        """What is whole now; raises MalformedMessage, after which nothing on it can be trusted."""
 
     def encode(self, message: Message) -> bytes:
         """What a message is on the wire; empty if there is nothing to say."""
@@ -140,54 +140,56 @@
 class Link:
     """One connection. Made for a socket that is connected; `owner` means whatever the loop wants it to."""
 
-    def __init__(self, sock: socket.socket, inbox: Inbox, owner: Any, dialect: Dialect | None = None) -> None:
+    def __init__(
+        self, sock: socket.socket, inbox: Inbox, owner: Any, wire_codec: WireCodec | None = None
+    ) -> None:
         self.owner = owner
-        self.dialect: Dialect = dialect or codec.Binary()
-        self.kin = ""  # whose connection it is, where a protocol tells: what stands with one is not another's
+        self.wire_codec: WireCodec = wire_codec or codec.Binary()
+        self.peer_id = ""  # who connects, where a protocol tells: what stands with one is not another's
         self.sock = sock
-        self.freed: Callable[[], None] = lambda: None  # called when the descriptor is free
+        self.on_freed: Callable[[], None] = lambda: None  # called when the descriptor is free
         self.whole_ms = ANSWER_MS  # how long a message may take from its first byte
         self.outbox_most = OUTBOX_MOST
-        self.chunk = CHUNK
+        self.chunk = READ_SIZE
         self.had_call = False  # the loop's: a call that came on it has stood
         self.first_whole_at = 0  # when the first message must be whole, in milliseconds; 0: as any other
         self.first_ms = 0  # how long the peer may be silent at first; 0: for ever
-        self.leaving = False  # the loop's: told to close; what still comes is not taken in
+        self.is_closing = False  # the loop's: told to close; what still comes is not taken in
         self.inbox = inbox
         self.heard_at = 0  # the loop's: when the last message was dealt with
-        self.spoke = False  # the loop's: whether there was one
-        self.asked_at = 0  # the loop's: when a probe last went out here
-        self.answered = False  # the loop's: whether a set-up or a probe was answered here
+        self.has_spoken = False  # the loop's: whether there was one
+        self.probed_at = 0  # the loop's: when a probe last went out here
+        self.has_answered = False  # the loop's: whether a set-up or a probe was answered here
         self.closed = False  # the loop's word for it; the threads notice by their socket
         self.calls: dict[int, Any] = {}  # the loop's: what waits for an answer here
-        self.unheard: dict[int, Release] = {}  # the loop's: releases sent here and not yet confirmed
+        self.unconfirmed: dict[int, Release] = {}  # the loop's: releases sent here and not yet confirmed
         self.withdrawn: set[int] = set()  # calls whose release was read and not yet dealt with
         self.shared = False  # read by the common reader
-        self._until = 0  # in milliseconds, when what has begun must be whole; 0: nothing has
-        self._ahead = threading.Semaphore(AHEAD_MOST)
+        self._complete_by = 0  # in milliseconds, when what has begun must be whole; 0: nothing has
+        self._ahead = threading.Semaphore(MAX_SHARES_AHEAD)
         self._in_hand = False  # a caller's reader has bytes that are not counted yet
-        self._came = self._taken = 0  # messages: the reader's count and the loop's
+        self._received = self._processed = 0  # messages: the reader's count and the loop's
         self._outbox: deque[tuple[int, bytes]] = deque()  # with the call of a whole set-up, else 0
         self._waiting = 0
         self._lock = threading.RLock()  # over the outbox and what follows
         self._writing = False  # a writer is at work
         self._last = False  # nothing may be added, what is there is still written
-        self._hears = False  # though told to end, until the peer ends too
+        self._keep_reading = False  # though told to end, until the peer ends too
         self._waits = 0
         self._users = 1  # threads that still use the socket
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         # What the kernel holds for a peer that does not read is bounded like the outbox.
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER)
         sock.settimeout(None)
-        self.dialect.bind(self)
+        self.wire_codec.bind(self)
 
     def start(self, patience: float = 0.0) -> None:
         """Start the reader; raises RuntimeError if the machine has no thread left."""
-        spawn(self.read, patience)
+        start_thread(self.read, patience)
 
     def send(self, message: Message) -> bool:
         """Write a message, or queue it; False on a closing connection or where the peer does not read."""
-        return self.write(self.dialect.encode(message), message.call if isinstance(message, SetUp) else 0)
+        return self.write(self.wire_codec.encode(message), message.call if isinstance(message, SetUp) else 0)
 
     def write(self, data: bytes, set_up: int = 0) -> bool:
         """The same for bytes, those of the set-up of that call."""
@@ -235,17 +237,17 @@
                     return True
         return False
 
-    def taken(self, shares: int) -> None:
+    def mark_processed(self, shares: int) -> None:
         """The loop has dealt with one message: the reader may go on."""
-        self._taken += 1
+        self._processed += 1
         if shares:
             self._ahead.release(shares)
 
-    def unread(self) -> bool:
+    def has_unread(self) -> bool:
         """Whether the peer has sent what the loop has not dealt with, or begun to; never blocks."""
-        return self._until > 0 or self.pending()
+        return self._complete_by > 0 or self.has_pending()
 
-    def pending(self) -> bool:
+    def has_pending(self) -> bool:
         """The same but for a message that has begun and is not whole, as far as it was read.
 
         Looked for along the way that it takes, so that it cannot pass unseen from one place to the next.
@@ -253,9 +255,9 @@
         with contextlib.suppress(OSError):  # nothing there, or no connection any more
             if self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT):
                 return True
-        return self._in_hand or self._came != self._taken
+        return self._in_hand or self._received != self._processed
 
-    def left(self, call: int) -> bool:
+    def has_left(self, call: int) -> bool:
         """Whether the peer has closed, or has given this call up, as far as that has arrived; never blocks.
 
         The loop hears so in its turn. Behind a burst that may be long after, and a set-up must not go out for
@@ -270,21 +272,21 @@
             return True  # freed: the reader has come to its end
         return bool(poll.poll(0))
 
-    def close(self, hears: bool = False) -> None:
+    def close(self, keep_reading: bool = False) -> None:
         """Close at once; the threads come back and the reader says so.
 
-        With `hears` only our side ends: what the peer writes until it notices is still read, to its end or
-        to a plain close. Whoever asks for that sees to the latter.
+        With `keep_reading` only our side ends: what the peer writes until it notices is still read, to its
+        end or to a plain close. Whoever asks for that sees to the latter.
         """
         with self._lock:
-            self._last, self._hears = True, hears
+            self._last, self._keep_reading = True, keep_reading
             self._outbox.clear()
         self._shut()
 
-    def finish(self, hears: bool = False) -> None:
+    def finish(self, keep_reading: bool = False) -> None:
         """Nothing more will be said; what is queued is still written."""
         with self._lock:
-            self._last, self._hears = True, hears
+            self._last, self._keep_reading = True, keep_reading
             if self._writing:
                 return  # the writer closes after the last word
         self._shut()
@@ -292,9 +294,9 @@
     def _shut(self) -> None:
         with contextlib.suppress(OSError):
             # Shut for reading too, the kernel answers what comes from then on with a reset.
-            self.sock.shutdown(socket.SHUT_WR if self._hears else socket.SHUT_RDWR)
+            self.sock.shutdown(socket.SHUT_WR if self._keep_reading else socket.SHUT_RDWR)
 
-    def drained(self) -> bool:
+    def is_drained(self) -> bool:
         return self._waiting == 0
 
     def read(self) -> None:
@@ -307,16 +309,16 @@
                 self._patience(self._digest(self.sock.recv(self.chunk)))
                 self._in_hand = False
         except BlockingIOError:
-            malformed = self._until > 0
+            malformed = self._complete_by > 0
             log.info("closing a connection: %s", "a message stops short" if malformed else "never spoke")
-        except Malformed as trouble:
+        except MalformedMessage as trouble:
             log.warning("closing a connection: %s", trouble)
             malformed = True
         except OSError:
             pass  # reset: the same as closed
         self._end(malformed)
 
-    def pump(self) -> bool:
+    def read_available(self) -> bool:
         """What the common reader does where there is something; False once the connection has ended."""
         malformed = False
         try:
@@ -325,7 +327,7 @@
                 return True
         except BlockingIOError:
             return True
-        except Malformed as trouble:
+        except MalformedMessage as trouble:
             log.warning("closing a connection: %s", trouble)
             malformed = True
         except OSError:
@@ -335,7 +337,7 @@
 
     def stops_short(self) -> bool:
         """Whether a message has begun and is not whole in time. Ends the connection then."""
-        if not 0 < self._until <= time.monotonic_ns() // 1_000_000:
+        if not 0 < self._complete_by <= time.monotonic_ns() // 1_000_000:
             return False
         log.warning("closing a connection: a message stops short")
         self._end(True)
@@ -343,25 +345,25 @@
 
     def full(self) -> bool:
         """Whether so much waits for the loop that nothing more may be read."""
-        return self._came - self._taken >= AHEAD_MOST
+        return self._received - self._processed >= MAX_SHARES_AHEAD
 
     def _digest(self, data: bytes) -> int:
         """Hand on what is whole; for how long the rest may take to come, in milliseconds, 0: for ever."""
         whole = False
-        for message in self.dialect.feed(data):
+        for message in self.wire_codec.feed(data):
             whole = True
-            self._hand_on(message, self.dialect.size)
+            self._hand_on(message, self.wire_codec.size)
             del message  # or it would be held here until the peer's next word
         now = time.monotonic_ns() // 1_000_000
-        if not self.dialect.begun():
-            self._until = 0
-        elif whole or not self._until:
-            self._until = now + self.whole_ms
-            if self.first_whole_at and not self._came:
-                self._until = self.first_whole_at
-        elif now >= self._until:
-            raise Malformed("a message that does not end")
-        return max(self._until - now, 1) if self._until else 0
+        if not self.wire_codec.begun():
+            self._complete_by = 0
+        elif whole or not self._complete_by:
+            self._complete_by = now + self.whole_ms
+            if self.first_whole_at and not self._received:
+                self._complete_by = self.first_whole_at
+        elif now >= self._complete_by:
+            raise MalformedMessage("a message that does not end")
+        return max(self._complete_by - now, 1) if self._complete_by else 0
 
     def _end(self, malformed: bool) -> None:
         self.close()
@@ -375,13 +377,13 @@
         would fill the memory of a small machine. The common reader never waits: it looks for room first.
         """
         at = time.monotonic_ns() // 1000
-        shares = 0 if self.shared else min(1 + size // SHARE, AHEAD_MOST)
+        shares = 0 if self.shared else min(1 + size // SHARE, MAX_SHARES_AHEAD)
         if isinstance(message, Release) and not self.shared:
             self.withdrawn.add(message.call)
         for _ in range(shares):
             self._ahead.acquire()
-        self._came += 1
-        self.inbox.put(Came(self, message, shares, at))
+        self._received += 1
+        self.inbox.put(Received(self, message, shares, at))
 
     def _patience(self, ms: int) -> None:
         """How long the next `recv` may take; the writer's `sendall` is not concerned."""
@@ -401,7 +403,7 @@
             try:
                 self.sock.sendall(data)
             except OSError:
-                self.close(self._hears)  # clears the outbox too
+                self.close(self._keep_reading)  # clears the outbox too
             with self._lock:
                 self._waiting -= len(data)
         if self._last:
@@ -415,7 +417,7 @@
             last = self._users == 0
         if last:
             self.sock.close()
-            self.freed()
+            self.on_freed()
 
 
 class Listener:
@@ -426,28 +428,28 @@
         where: str,
         inbox: Inbox,
         room: threading.Semaphore,
-        speaks: Callable[[], Dialect] = codec.Binary,
-        inherited: int | None = None,
+        speaks: Callable[[], WireCodec] = codec.Binary,
+        inherited_fd: int | None = None,
     ) -> None:
         self._inbox, self._room, self._speaks = inbox, room, speaks
-        self._shared = inherited is not None
+        self._shared = inherited_fd is not None
         self._closed = False
-        if inherited is None:
-            self._sock = bound(where)
+        if inherited_fd is None:
+            self._sock = bind_socket(where)
         else:
             # Others accept on it too, before and after this process: who was told that a connection waits may
             # find it gone, and must not be held by that until the next.
-            self._sock = socket.socket(fileno=inherited)
+            self._sock = socket.socket(fileno=inherited_fd)
             self._sock.setblocking(False)
         self._sock.listen(BACKLOG)
 
     @property
-    def where(self) -> tuple[str, int]:
+    def address(self) -> tuple[str, int]:
         name: tuple[str, int] = self._sock.getsockname()
         return name
 
     def start(self) -> None:
-        spawn(self._accept)
+        start_thread(self._accept)
 
     def close(self) -> None:
         """Accept nothing more: at once, or on a shared socket within `TURN_MS`, when its thread closes it."""
@@ -492,10 +494,10 @@
                 sock.close()  # gone already
                 self._room.release()
                 continue
-            link.freed = self._room.release
-            link.whole_ms, link.first_ms = WHOLE_MS, FIRST_MS
-            link.first_whole_at = time.monotonic_ns() // 1_000_000 + FIRST_WHOLE_MS
-            link.outbox_most, link.chunk = CALLER_OUTBOX_MOST, CALLER_CHUNK
+            link.on_freed = self._room.release
+            link.whole_ms, link.first_ms = MESSAGE_TIMEOUT_MS, FIRST_BYTE_TIMEOUT_MS
+            link.first_whole_at = time.monotonic_ns() // 1_000_000 + FIRST_MESSAGE_TIMEOUT_MS
+            link.outbox_most, link.chunk = CALLER_OUTBOX_MOST, CALLER_READ_SIZE
             self._inbox.put(Opened(link))
             try:
                 link.start(patience=1.0)  # its set-up would be lost with it
@@ -519,7 +521,7 @@
         self._lock = threading.Lock()  # over that list
 
     def start(self) -> None:
-        spawn(self._run)
+        start_thread(self._run)
 
     def add(self, link: Link) -> None:
         """From now on, or within `LOOK_MS`: a peer of many connections is waited for that long anyway."""
@@ -535,7 +537,9 @@
             poll = select.poll()
             for descriptor in by_descriptor:
                 poll.register(descriptor, select.POLLIN)
-            ended = [by_descriptor[at] for at, _ in poll.poll(LOOK_MS) if not by_descriptor[at].pump()]
+            ended = [
+                by_descriptor[at] for at, _ in poll.poll(LOOK_MS) if not by_descriptor[at].read_available()
+            ]
             ended += [link for link in links if link not in ended and link.stops_short()]
             if ended:
                 with self._lock:
@@ -543,14 +547,14 @@
 
 
 def dial(
-    where: str, timeout_us: int, inbox: Inbox, owner: Any, reader: Reader, dialect: Dialect | None = None
+    where: str, timeout_us: int, inbox: Inbox, owner: Any, reader: Reader, wire_codec: WireCodec | None = None
 ) -> None:
     """Connect aside. The loop is told `Opened` or `DialFailed`."""
 
     def connect() -> None:
         try:
-            sock = socket.create_connection(address(where), timeout=timeout_us / 1e6)
-            link = Link(sock, inbox, owner, dialect)
+            sock = socket.create_connection(parse_address(where), timeout=timeout_us / 1e6)
+            link = Link(sock, inbox, owner, wire_codec)
         except Exception as trouble:  # whatever it was, the loop must hear of it, or it waits for ever
             inbox.put(DialFailed(owner, isinstance(trouble, ConnectionRefusedError)))
             return
--- a/wickstep/numbering/enum_dns.py
+++ b/wickstep/numbering/enum_dns.py
@@ -153,7 +153,7 @@
         self._ident = 0
 
     def start(self) -> None:
-        links.spawn(self._run)
+        links.start_thread(self._run)
 
     def ask(self, ask: Ask) -> None:
         self._questions.put(ask)
@@ -186,7 +186,7 @@
         with self._lock:
             if self._sock is not None:
                 return self._sock
-        sock = socket.create_connection(links.address(self._dial), timeout=CONNECT_S)
+        sock = socket.create_connection(links.parse_address(self._dial), timeout=CONNECT_S)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         # For writing only: the reader waits for as long as the peer is silent. Python's own timeout holds
         # for both.
@@ -196,7 +196,7 @@
         with self._lock:
             self._sock = sock
         try:
-            links.spawn(lambda: self._read(sock), patience=0.0)
+            links.start_thread(lambda: self._read(sock), timeout_s=0.0)
         except RuntimeError:
             self._hang_up(sock)
             sock.close()
@@ -227,7 +227,7 @@
     def _read(self, sock: socket.socket) -> None:
         data = b""
         try:
-            while piece := sock.recv(links.CALLER_CHUNK):
+            while piece := sock.recv(links.CALLER_READ_SIZE):
                 data += piece
                 while len(data) >= LENGTH.size:
                     (size,) = LENGTH.unpack_from(data)
--- a/wickstep/numbering/stage.py
+++ b/wickstep/numbering/stage.py
@@ -21,7 +21,7 @@
 from typing import Protocol
 
 from wickstep.net import Reason, links
-from wickstep.net.softswitch import MS, SECOND, Admit, Call, Floor
+from wickstep.net.softswitch import MS, SECOND, AdmitStage, Call, SharedState
 from wickstep.numbering import enum_dns
 from wickstep.numbering.analysis import Analysis, Verdict, analyse, resolve
 from wickstep.numbering.portability import Ask, LookUps, Told
@@ -40,7 +40,7 @@
 }
 
 
-def load(path: Path) -> Table:
+def load_table(path: Path) -> Table:
     """Read and make a table from files; raises BadTable, whatever is wrong with them."""
     try:
         with path.open("rb") as file:
@@ -86,8 +86,8 @@
 class NumberStage:
     """Owns the analysis of one softswitch. All methods but the loading run on the loop's thread."""
 
-    def __init__(self, floor: Floor, admit: Admit, path: Path, table: Table) -> None:
-        self.floor, self.admit, self.path = floor, admit, path
+    def __init__(self, shared: SharedState, admit: AdmitStage, path: Path, table: Table) -> None:
+        self.shared, self.admit, self.path = shared, admit, path
         self.table = table
         self.alive: weakref.WeakSet[Table] = weakref.WeakSet([table])
         self.waiting: dict[int, Waiting] = {}  # by the controller's number of the call
@@ -103,34 +103,34 @@
 
     # Calls.
 
-    def call(self, call: Call) -> None:
+    def analyse_call(self, call: Call) -> None:
         """Analyse an admitted call; it goes on at once, later, or not at all."""
         call.table = self.table
         found = analyse(self.table, call.set_up.number, self._wall())
         self._go(call, self.table, found)
 
-    def ended(self, number: int) -> None:
+    def call_ended(self, number: int) -> None:
         """A call is open no more: nothing is told to it, and a late answer finds nobody."""
         if self.waiting.pop(number, None) is not None and self.look_ups is not None:
             self.look_ups.gave_up(number)
 
     def _go(self, call: Call, table: Table, found: Analysis) -> None:
-        self.floor.counts[f"numbers_{found.verdict.name.lower()}"] += 1
+        self.shared.counters[f"numbers_{found.verdict.name.lower()}"] += 1
         if log.isEnabledFor(logging.INFO):
-            log.info("%016x analysed by %s: %s", call.wire, found.version, "; ".join(found.steps))
+            log.info("%016x analysed by %s: %s", call.call_id, found.version, "; ".join(found.steps))
         match found.verdict:
             case Verdict.ROUTED:
-                draw = (call.wire * TWIST & 0xFFFFFFFFFFFFFFFF) / 2**64
+                draw = (call.call_id * TWIST & 0xFFFFFFFFFFFFFFFF) / 2**64
                 self.admit.proceed(call, found.candidates(draw))
             case Verdict.LOOK_UP if self.look_ups is not None:
-                self.waiting[call.number] = Waiting(call, table, found)
-                now = self.floor.now
-                self._do(self.look_ups.look_up(call.number, found.number, now, call.deadline))
+                self.waiting[call.controller_id] = Waiting(call, table, found)
+                now = self.shared.now
+                self._do(self.look_ups.look_up(call.controller_id, found.number, now, call.deadline))
                 self._look_again()
             case Verdict.LOOK_UP:
                 self._go(call, table, resolve(table, found, None))
             case verdict:
-                self.admit.no_route(call, REFUSALS[verdict])
+                self.admit.reject_number(call, REFUSALS[verdict])
 
     def _do(self, done: list[Ask | Told] | list[Told]) -> None:
         for item in done:
@@ -146,29 +146,29 @@
     def _look_again(self) -> None:
         if not self.looking and self.look_ups is not None and self.look_ups.questions:
             self.looking = True
-            self.floor.at(self.floor.now + LOOK, self._look)
+            self.shared.schedule(self.shared.now + LOOK, self._look)
 
     def _look(self) -> None:
         self.looking = False
         if self.look_ups is not None:
-            self._do(self.look_ups.due(self.floor.now))
+            self._do(self.look_ups.due(self.shared.now))
         self._look_again()
 
     def _wall(self) -> float:
         """The Unix time of this turn."""
-        if self.floor.now - self.wall_at >= WALL_EVERY:
-            self.wall_at = self.floor.now
-            self.wall = time.time() - self.floor.now / SECOND
-        return self.wall + self.floor.now / SECOND
+        if self.shared.now - self.wall_at >= WALL_EVERY:
+            self.wall_at = self.shared.now
+            self.wall = time.time() - self.shared.now / SECOND
+        return self.wall + self.shared.now / SECOND
 
     # What threads tell.
 
-    def deal(self, item: object) -> None:
+    def handle_result(self, item: object) -> None:
         match item:
             case enum_dns.Answered(question=question, found=found) if self.look_ups is not None:
-                self._do(self.look_ups.answered(question, found, self.floor.now))
+                self._do(self.look_ups.answered(question, found, self.shared.now))
             case enum_dns.Failed(question=question) if self.look_ups is not None:
-                self._do(self.look_ups.failed(question, self.floor.now))
+                self._do(self.look_ups.failed(question, self.shared.now))
             case Loaded():
                 self._loaded(item)
 
@@ -181,7 +181,7 @@
             return
         self.loading = True
         try:
-            links.spawn(partial(self._load, self.path), patience=0.0)
+            links.start_thread(partial(self._load, self.path), timeout_s=0.0)
         except RuntimeError as trouble:
             self.loading = False
             self._refused(str(trouble))
@@ -189,13 +189,13 @@
     def _load(self, path: Path) -> None:
         began = time.monotonic()
         try:
-            loaded = Loaded(load(path), took_s=time.monotonic() - began)
+            loaded = Loaded(load_table(path), took_s=time.monotonic() - began)
         except BadTable as trouble:
             loaded = Loaded(None, str(trouble))
         except Exception as trouble:  # whatever a file brings about, the loop must hear that it is over
             log.exception("reading %s", path)
             loaded = Loaded(None, repr(trouble))
-        self.floor.inbox.put(loaded)
+        self.shared.inbox.put(loaded)
 
     def _loaded(self, loaded: Loaded) -> None:
         self.loading = False
@@ -204,7 +204,7 @@
         else:
             old, self.table = self.table, loaded.table
             self.alive.add(loaded.table)
-            self.floor.counts["number_tables_swapped"] += 1
+            self.shared.counters["number_tables_swapped"] += 1
             log.warning(
                 "number table %s takes the place of %s: %s, read in %.2f s",
                 loaded.table.version or "without a version", old.version or "one without",
@@ -216,7 +216,7 @@
             self.reload()
 
     def _refused(self, trouble: str) -> None:
-        self.floor.counts["number_tables_refused"] += 1
+        self.shared.counters["number_tables_refused"] += 1
         log.error("number table %s stays: %s", self.table.version, trouble)
 
     def _portability(self, plan: PortabilityPlan | None) -> None:
@@ -234,7 +234,7 @@
         self.asked = where
         self.client = None
         if plan is not None:
-            self.client = enum_dns.Client(plan.dial, plan.suffix, self.floor.inbox.put)
+            self.client = enum_dns.Client(plan.dial, plan.suffix, self.shared.inbox.put)
             self.client.start()
 
     def counts(self) -> dict[str, int]:
@@ -245,4 +245,4 @@
         return found
 
 
-MakeStage = Callable[[Floor, Admit], NumberStage]
+MakeStage = Callable[[SharedState, AdmitStage], NumberStage]
--- a/wickstep/operation/calls.py
+++ b/wickstep/operation/commands.py
@@ -8,32 +8,32 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from wickstep.operation.mode import Event, Step
+from wickstep.operation.mode import Event, Transition
 
-LINE_MOST = 256  # bytes of a call, its end of line included
-SUCCESS, FAILURE, END = "SUCCESS", "FAILURE", "EOT"
+MAX_LINE = 256  # bytes of a call, its end of line included
+SUCCESS, FAILURE, END_OF_REPLY = "SUCCESS", "FAILURE", "EOT"
 STATUS, METRICS = "STATUS", "METRICS"
 CHANGES = {"PAUSE": Event.PAUSE, "RESUME": Event.RESUME}
 
 
 @dataclass(slots=True, frozen=True)
-class Desk:
+class CommandHandlers:
     """What stands behind the calls; each answers at once, from any thread."""
 
     status: Callable[[], tuple[bool, str]]  # whether this process is ready to serve, and its state in words
     figures: Callable[[], str]  # as lines
-    tell: Callable[[Event], Step]
+    tell: Callable[[Event], Transition]
 
 
-def line_in(heard: bytes) -> bytes | None:
+def parse_line(heard: bytes) -> bytes | None:
     """The first line, without its end; None while it has none. ValueError once it is too long to be one."""
     line, end, _ = heard.partition(b"\n")
-    if len(line) + len(end) > LINE_MOST:
-        raise ValueError(f"a line of more than {LINE_MOST} bytes")
+    if len(line) + len(end) > MAX_LINE:
+        raise ValueError(f"a line of more than {MAX_LINE} bytes")
     return line.rstrip(b"\r") if end else None
 
 
-def reply(line: bytes, desk: Desk) -> str:
+def make_reply(line: bytes, desk: CommandHandlers) -> str:
     """The reply to one call, its last end of line included."""
     try:
         call = line.decode("ascii").strip()
@@ -43,12 +43,12 @@
         ready, state = desk.status()
         return f"{SUCCESS if ready else FAILURE} {state}\n"
     if call == METRICS:
-        return f"{desk.figures()}{END}\n"
+        return f"{desk.figures()}{END_OF_REPLY}\n"
     event = CHANGES.get(call)
     if event is None:
         return failure("unknown call; there are " + ", ".join((STATUS, METRICS, *CHANGES)))
     step = desk.tell(event)
-    return f"{SUCCESS if step.granted else FAILURE} {step.text}\n"
+    return f"{SUCCESS if step.is_accepted else FAILURE} {step.text}\n"
 
 
 def failure(why: str) -> str:
--- a/wickstep/operation/bequest.py
+++ b/wickstep/operation/handover.py
@@ -12,31 +12,31 @@
 
 from wickstep.net import Reason
 
-CALLS_MOST = 5000
-RELEASES_MOST = 1000
-KEPT = 3600 * 1_000_000  # microseconds; whoever speaks for longer hangs up without help
+MAX_CALLS = 5000
+MAX_RELEASES = 1000
+MAX_AGE = 3600 * 1_000_000  # microseconds; whoever speaks for longer hangs up without help
 ID_MOST = 2**64
 
 
-class Unusable(ValueError):
+class InvalidHandover(ValueError):
     """A record that does not make sense."""
 
 
-def written(standing: Mapping[int, str], releases: Iterable[tuple[int, Reason]]) -> dict[str, Any]:
+def encode(standing: Mapping[int, str], releases: Iterable[tuple[int, Reason]]) -> dict[str, Any]:
     """As JSON has it: the latest calls that stand, with their servers' hosts, and the latest releases."""
     return {
-        "standing": [[f"{call:x}", host] for call, host in [*standing.items()][-CALLS_MOST:]],
-        "releases": [[f"{call:x}", reason.value] for call, reason in [*releases][-RELEASES_MOST:]],
+        "standing": [[f"{call:x}", host] for call, host in [*standing.items()][-MAX_CALLS:]],
+        "releases": [[f"{call:x}", reason.value] for call, reason in [*releases][-MAX_RELEASES:]],
     }
 
 
-def read(content: Any) -> tuple[dict[int, str], list[tuple[int, Reason]]]:
-    """What was written, within the same bounds; raises Unusable."""
+def decode(content: Any) -> tuple[dict[int, str], list[tuple[int, Reason]]]:
+    """What was written, within the same bounds; raises InvalidHandover."""
     try:
-        standing = {_call(call): _host(host) for call, host in content["standing"][:CALLS_MOST]}
-        releases = [(_call(call), Reason(why)) for call, why in content["releases"][:RELEASES_MOST]]
+        standing = {_call(call): _host(host) for call, host in content["standing"][:MAX_CALLS]}
+        releases = [(_call(call), Reason(why)) for call, why in content["releases"][:MAX_RELEASES]]
     except (LookupError, TypeError, ValueError) as trouble:
-        raise Unusable(f"no record: {trouble}") from trouble
+        raise InvalidHandover(f"no record: {trouble}") from trouble
     return standing, releases
 
 
@@ -53,7 +53,7 @@
     return host
 
 
-class Bequest:
+class InheritedCalls:
     """Calls that stood in an earlier process when it ended, by their ids."""
 
     def __init__(self) -> None:
@@ -71,7 +71,7 @@
             self._calls[call] = (host, now)
         while self._calls:
             first = next(iter(self._calls))
-            if len(self._calls) <= CALLS_MOST and now - self._calls[first][1] <= KEPT:
+            if len(self._calls) <= MAX_CALLS and now - self._calls[first][1] <= MAX_AGE:
                 break
             del self._calls[first]
 
@@ -82,7 +82,7 @@
             self.on_taken(call)
         return host
 
-    def of(self, host: str) -> list[int]:
+    def take_by_host(self, host: str) -> list[int]:
         """All that stood at a server; they are none any more."""
         calls = [call for call, (at, _) in self._calls.items() if at == host]
         for call in calls:
--- a/wickstep/operation/figures.py
+++ b/wickstep/operation/metrics.py
@@ -50,14 +50,14 @@
 FIGURES = (RESULTS, FORWARDS, OUTSTANDING, DISCOVERED, EJECTED, JOURNAL)
 
 
-class Tally:
+class ResultCounts:
     """Counts of one process, from 0 at its start. One call counts once, where its final answer is written."""
 
     def __init__(self, classes: Sequence[str]) -> None:
         self._classes = tuple(classes)
         self._results = {(place, what): 0 for place in range(len(classes)) for what in Disposition}
 
-    def ended(self, klass: int, kind: str) -> None:
+    def count_result(self, klass: int, kind: str) -> None:
         """A request of the class (its place in the settings) has had its final answer of this kind.
 
         KeyError for a kind that no final answer has.
@@ -70,7 +70,7 @@
             yield self._classes[place], what, count
 
 
-def written(tally: Tally, values: Mapping[Figure, int]) -> str:
+def format_metrics(tally: ResultCounts, values: Mapping[Figure, int]) -> str:
     """The figures as lines `name value`, each ended; those with a value, after the results."""
     lines = [
         f'{PREFIX}{RESULTS.name}{{service="{_quoted(klass)}",disposition="{what.value}"}} {count}'
--- a/wickstep/operation/mode.py
+++ b/wickstep/operation/mode.py
@@ -31,35 +31,35 @@
     PAUSE = "pause"
     RESUME = "resume"
     TERM = "term"
-    RELIEVED = "relieved"
+    HAND_OVER = "relieved"
     HANGUP = "hangup"
 
 
 @dataclass(slots=True, frozen=True)
-class Step:
+class Transition:
     """Where an event leads: the state after it, whether it is granted, and what is said about it."""
 
     state: State
-    granted: bool
+    is_accepted: bool
     text: str
 
 
-def _same_in_both(event: Event, state: State | None, text: str) -> dict[tuple[State, Event], Step]:
+def _same_in_both(event: Event, state: State | None, text: str) -> dict[tuple[State, Event], Transition]:
     """What an event does in both states in which the process stays; None: nothing changes."""
-    return {(old, event): Step(state or old, True, text) for old in (State.SERVING, State.PAUSED)}
+    return {(old, event): Transition(state or old, True, text) for old in (State.SERVING, State.PAUSED)}
 
 
-def _no_way_back(state: State) -> dict[tuple[State, Event], Step]:
-    return {(state, event): Step(state, False, state.value) for event in Event}
+def _no_way_back(state: State) -> dict[tuple[State, Event], Transition]:
+    return {(state, event): Transition(state, False, state.value) for event in Event}
 
 
-TABLE: Mapping[tuple[State, Event], Step] = {
-    (State.SERVING, Event.PAUSE): Step(State.PAUSED, True, "draining"),
-    (State.SERVING, Event.RESUME): Step(State.SERVING, True, "serving already"),
-    (State.PAUSED, Event.PAUSE): Step(State.PAUSED, True, "drained already"),
-    (State.PAUSED, Event.RESUME): Step(State.SERVING, True, "serving"),
+TRANSITIONS: Mapping[tuple[State, Event], Transition] = {
+    (State.SERVING, Event.PAUSE): Transition(State.PAUSED, True, "draining"),
+    (State.SERVING, Event.RESUME): Transition(State.SERVING, True, "serving already"),
+    (State.PAUSED, Event.PAUSE): Transition(State.PAUSED, True, "drained already"),
+    (State.PAUSED, Event.RESUME): Transition(State.SERVING, True, "serving"),
     **_same_in_both(Event.TERM, State.STOPPING, "stopping"),
-    **_same_in_both(Event.RELIEVED, State.HANDING_OVER, "handing over"),
+    **_same_in_both(Event.HAND_OVER, State.HANDING_OVER, "handing over"),
     **_same_in_both(Event.HANGUP, None, "reading the configuration again"),
     **_no_way_back(State.STOPPING),
     **_no_way_back(State.HANDING_OVER),
@@ -78,12 +78,12 @@
         return self._state
 
     @property
-    def ending(self) -> bool:
+    def is_ending(self) -> bool:
         return self._state in (State.STOPPING, State.HANDING_OVER)
 
-    def tell(self, event: Event) -> Step:
+    def handle(self, event: Event) -> Transition:
         """An event has come; the step it leads to. Never waits for anybody's work."""
         with self._lock:
-            step = TABLE[self._state, event]
+            step = TRANSITIONS[self._state, event]
             self._state = step.state
             return step
--- a/wickstep/operation/front.py
+++ b/wickstep/operation/operator_server.py
@@ -14,11 +14,11 @@
 from dataclasses import dataclass, field
 
 from wickstep.net import links
-from wickstep.operation import calls
+from wickstep.operation import commands
 
 log = logging.getLogger(__name__)
 
-HELD_MOST = 24  # connections; descriptors that callers and setup servers do not have
+MAX_CONNECTIONS = 24  # connections; descriptors that callers and setup servers do not have
 BACKLOG = 256
 LINE_S = 3.0  # a call has to be whole by then
 REPLY_S = 1.0  # and its reply read by then, or the peer's end closed
@@ -37,26 +37,26 @@
     replied: bool = field(default=False)  # all is written, and only the peer's end is awaited
 
 
-class Front:
+class OperatorServer:
     """Listens on the operators' address and answers each call from `desk`."""
 
-    def __init__(self, where: str, desk: calls.Desk) -> None:
+    def __init__(self, where: str, desk: commands.CommandHandlers) -> None:
         self._desk = desk
-        self._sock = links.bound(where)
+        self._sock = links.bind_socket(where)
         self._sock.listen(BACKLOG)
         self._sock.setblocking(False)
-        self._visitors: dict[int, Visitor] = {}  # by descriptor, oldest first
+        self._connections: dict[int, Visitor] = {}  # by descriptor, oldest first
         self._poll = select.poll()
         self._poll.register(self._sock, select.POLLIN)
         self._closed = False
 
     @property
-    def where(self) -> tuple[str, int]:
+    def address(self) -> tuple[str, int]:
         name: tuple[str, int] = self._sock.getsockname()
         return name
 
     def start(self) -> None:
-        links.spawn(self._run)
+        links.start_thread(self._run)
 
     def close(self) -> None:
         """No more calls, within a turn."""
@@ -69,25 +69,25 @@
             except Exception:  # without this thread nobody could ask what is wrong
                 log.exception("a fault at the operators' address")
                 time.sleep(REST_S)
-        for visitor in [*self._visitors.values()]:
+        for visitor in [*self._connections.values()]:
             self._drop(visitor)
         self._sock.close()
 
     def turn(self, patience_s: float) -> None:
         """One look at all sockets, for at most that long."""
         now = time.monotonic()
-        soonest = min((visitor.until for visitor in self._visitors.values()), default=now + patience_s)
+        soonest = min((visitor.until for visitor in self._connections.values()), default=now + patience_s)
         ready = self._poll.poll(max(min(soonest - now, patience_s), 0) * 1000)
         for descriptor, _ in ready:
-            visitor = self._visitors.get(descriptor)
+            visitor = self._connections.get(descriptor)
             if visitor is not None:
                 self._serve(visitor)
             else:
-                for _ in range(HELD_MOST):  # as many as there may be, and then those that wait for a reply
+                for _ in range(MAX_CONNECTIONS):  # as many as there may be, then those that wait for a reply
                     if not self._accept():
                         break
         now = time.monotonic()
-        for visitor in [one for one in self._visitors.values() if one.until <= now]:
+        for visitor in [one for one in self._connections.values() if one.until <= now]:
             self._late(visitor)
 
     def _accept(self) -> bool:
@@ -101,10 +101,10 @@
             time.sleep(REST_S)
             return False
         sock.setblocking(False)
-        if len(self._visitors) >= HELD_MOST:
-            self._drop(next(iter(self._visitors.values())))
+        if len(self._connections) >= MAX_CONNECTIONS:
+            self._drop(next(iter(self._connections.values())))
         visitor = Visitor(sock, time.monotonic() + LINE_S)
-        self._visitors[sock.fileno()] = visitor
+        self._connections[sock.fileno()] = visitor
         self._poll.register(sock, select.POLLIN)
         self._serve(visitor)  # its line is there as a rule
         return True
@@ -127,11 +127,11 @@
         data = visitor.sock.recv(CHUNK)
         visitor.heard += data
         try:
-            line = calls.line_in(visitor.heard)
+            line = commands.parse_line(visitor.heard)
         except ValueError as trouble:
-            return self._answer(visitor, calls.failure(str(trouble)))
+            return self._answer(visitor, commands.failure(str(trouble)))
         if line is not None:
-            self._answer(visitor, calls.reply(line, self._desk))
+            self._answer(visitor, commands.make_reply(line, self._desk))
         elif not data:
             self._drop(visitor)
 
@@ -139,7 +139,7 @@
         if visitor.reply:
             self._drop(visitor)  # it does not read
         else:
-            self._answer(visitor, calls.failure("no whole line in time"))
+            self._answer(visitor, commands.failure("no whole line in time"))
 
     def _answer(self, visitor: Visitor, text: str) -> None:
         visitor.reply, visitor.heard = text.encode(), b""
@@ -163,20 +163,20 @@
         self._poll.modify(visitor.sock, select.POLLIN)
 
     def _drop(self, visitor: Visitor) -> None:
-        del self._visitors[visitor.sock.fileno()]
+        del self._connections[visitor.sock.fileno()]
         with contextlib.suppress(KeyError, OSError):
             self._poll.unregister(visitor.sock)
         visitor.sock.close()
 
 
-def ask(where: str, call: str, patience_s: float = 2.0) -> list[str]:
+def send_command(where: str, call: str, patience_s: float = 2.0) -> list[str]:
     """One call to a running softswitch; the lines of its reply.
 
     Raises OSError where nobody answers within `patience_s` seconds, ValueError where `where` is no address.
     """
     until = time.monotonic() + patience_s
     heard = b""
-    with socket.create_connection(links.address(where), timeout=patience_s) as sock:
+    with socket.create_connection(links.parse_address(where), timeout=patience_s) as sock:
         sock.sendall(f"{call}\n".encode())
         while data := _more(sock, until):
             heard += data
--- a/wickstep/operation/beside.py
+++ b/wickstep/operation/process_group.py
@@ -52,22 +52,22 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Departed:
+class HandoverReceived:
     """What a process has left at its end."""
 
     content: Any
 
 
-def folder_of(name: str) -> Path | None:
+def shared_folder(name: str) -> Path | None:
     """Where the processes of the softswitch of that name meet; None where the platform gives no folder."""
     shared = os.environ.get("TMPDIR")
     return Path(shared) / f"wickstep-{re.sub(r'[^A-Za-z0-9_-]', '_', name)[:64]}" if shared else None
 
 
-class Beside:
+class ProcessGroup:
     """This process among the others in the folder. `hand_on` is called with what others have left."""
 
-    def __init__(self, folder: Path, hand_on: Callable[[Departed], None]) -> None:
+    def __init__(self, folder: Path, hand_on: Callable[[HandoverReceived], None]) -> None:
         self._folder, self._hand_on = folder, hand_on
         self.me = Member(time.monotonic_ns(), os.getpid(), False)
         self.others: tuple[Member, ...] = ()  # replaced whole: any thread may look
@@ -91,49 +91,49 @@
             fcntl.flock(self._descriptor, fcntl.LOCK_EX)
             os.pwrite(self._descriptor, NOT_READY, 0)
             os.rename(born, born.with_suffix(".life"))
-            self.look()
+            self.scan()
         except OSError as trouble:
             log.warning("nothing is shared with other processes: %s", trouble)
             return False
         return True
 
     def start(self) -> None:
-        links.spawn(self._run)
+        links.start_thread(self._run)
 
-    def ready(self) -> None:
+    def announce_ready(self) -> None:
         """Say that this process takes callers; once is enough."""
         if not self._told:
             self._told = True
             with contextlib.suppress(OSError):
                 os.pwrite(self._descriptor, READY, 0)
 
-    def learned(self) -> Any | None:
+    def load_learned(self) -> Any | None:
         """What the last process had learned, or None; one log line where it is spoilt."""
         try:
             return envelope.read(self._folder / LEARNED, LEARNED, LEARNED_MOST)
-        except envelope.Spoilt as trouble:
+        except envelope.CorruptFile as trouble:
             log.warning("what was learned before is not used: %s", trouble)
             return None
 
-    def keep(self, content: Any) -> None:
+    def save_learned(self, content: Any) -> None:
         """Have what is learned written soon; only the latest counts. Never waits."""
         self._learned = content
 
-    def depart(self, content: Any) -> None:
+    def leave(self, content: Any) -> None:
         """Leave the folder, and this to who stays."""
         self._ended.set()
         with contextlib.suppress(OSError):
             envelope.write(self._folder / f"{self.me.stem}.left", LEFT, content)
         # The lock goes with the process, after all else: who sees it gone finds what was left.
 
-    def successor(self) -> bool:
+    def has_successor(self) -> bool:
         """Whether a process that was started later takes callers."""
         return any(other.ready and other > self.me for other in self.others)
 
     def _run(self) -> None:
         while not self._ended.wait(LOOK_S):
             try:
-                self.look()
+                self.scan()
                 content, self._learned = self._learned, None
                 if content is not None and not any(other > self.me for other in self.others):
                     envelope.write(self._folder / LEARNED, LEARNED, content)
@@ -141,7 +141,7 @@
                 log.warning("shared folder: %r", trouble)
                 self._ended.wait(1.0)
 
-    def look(self) -> None:
+    def scan(self) -> None:
         """See who is there; what those have left who are gone is taken, once, by the latest process."""
         here: list[Member] = []
         gone: list[Member] = []
@@ -172,11 +172,11 @@
         left = self._folder / f"{member.stem}.left"
         try:
             content = envelope.read(left, LEFT, LEFT_MOST)
-        except envelope.Spoilt as trouble:
+        except envelope.CorruptFile as trouble:
             log.warning("what process %d has left is not used: %s", member.pid, trouble)
             content = None
         for path in (left, self._folder / f"{member.stem}.life"):
             with contextlib.suppress(OSError):
                 os.unlink(path)
         if content is not None:
-            self._hand_on(Departed(content))
+            self._hand_on(HandoverReceived(content))
--- a/wickstep/operation/service.py
+++ b/wickstep/operation/service.py
@@ -14,18 +14,18 @@
 
 from wickstep.interface import ServerState
 from wickstep.net import Release
-from wickstep.operation import bequest, calls, draining, figures
-from wickstep.operation.beside import Beside, Departed, folder_of
-from wickstep.operation.draining import PLANS, Connection
-from wickstep.operation.front import Front
+from wickstep.operation import commands, draining, handover, metrics
+from wickstep.operation.draining import DRAIN_PLANS, Connection
 from wickstep.operation.mode import Event, State
+from wickstep.operation.operator_server import OperatorServer
+from wickstep.operation.process_group import HandoverReceived, ProcessGroup, shared_folder
 from wickstep.recovery import learned
 
 if TYPE_CHECKING:
-    from wickstep.net.softswitch import Floor, TakeIn
+    from wickstep.net.softswitch import SharedState, TakeInStage
     from wickstep.recovery.journal import Journal
-    from wickstep.recovery.plan import Plan
-    from wickstep.recovery.store import Store
+    from wickstep.recovery.plan import RecoveryPlan
+    from wickstep.recovery.store import LearnedStore
 
 log = logging.getLogger(__name__)
 
@@ -37,112 +37,116 @@
 class Operation:
     """The loop's side of it all; everything but `status` and `figures` is called by the loop only."""
 
-    def __init__(self, floor: Floor, take_in: TakeIn, store: Store | None = None) -> None:
-        self.floor, self.take_in, self.store = floor, take_in, store
-        self.seen = floor.mode.state  # the state that was carried out last,
-        self.since = floor.now  # and when
+    def __init__(self, shared: SharedState, take_in: TakeInStage, store: LearnedStore | None = None) -> None:
+        self.shared, self.take_in, self.store = shared, take_in, store
+        self.applied_state = shared.mode.state  # the state that was carried out last,
+        self.since = shared.now  # and when
         self.looks_at = 0  # when connections are looked at next
         self.discovered = self.ejected = 0
-        desk = calls.Desk(self.status, self.figures, floor.mode.tell)
-        self.front = Front(floor.config.operator, desk) if floor.config.operator else None
+        desk = commands.CommandHandlers(self.status, self.figures, shared.mode.handle)
+        self.operator_server = (
+            OperatorServer(shared.config.operator, desk) if shared.config.operator else None
+        )
         # A successor can come beside this process only where somebody else holds the callers' socket.
-        folder = folder_of(floor.config.name) if floor.config.inherited is not None else None
-        self.beside = Beside(folder, floor.inbox.put) if folder is not None else None
+        folder = shared_folder(shared.config.name) if shared.config.inherited_fd is not None else None
+        self.group = ProcessGroup(folder, shared.inbox.put) if folder is not None else None
         self.sharing = 1  # processes of this softswitch that are there
-        self.undivided = floor.config.settings
+        self.undivided = shared.config.settings
         self.journal: Journal | None = None
 
     def start(self) -> None:
         """Before the first caller: take over what an earlier process knows, and answer operators."""
         if self.store is not None:
-            self.store.adopt(self.take_in.route.controller, self.born_ms(), self.floor.now * 1000)
+            self.store.restore(self.take_in.route.controller, self.born_ms(), self.shared.now * 1000)
             self.store.start()
-            self.floor.at(self.floor.now + self.store.every_us, self.save)
+            self.shared.schedule(self.shared.now + self.store.interval_us, self.save)
             self.keep_calls(self.store.plan)
-        if self.beside is not None and self.beside.join():
-            self.adopt(self.beside.learned())
+        if self.group is not None and self.group.join():
+            self.adopt(self.group.load_learned())
             self.divide()
             self.keep()
-            self.beside.start()
+            self.group.start()
         else:
-            self.beside = None
-        if self.front is not None:
+            self.group = None
+        if self.operator_server is not None:
             self.snapshot()
-            self.front.start()
+            self.operator_server.start()
 
     def stop(self) -> None:
         """At the end: leave to a successor what stands here, and what its callers could not be told."""
         if self.store is not None:
             self.save()
-            self.store.finish()
+            self.store.flush()
         if self.journal is not None:
             self.journal.close()
-        if self.front is not None:
-            self.front.close()
-        if self.beside is not None:
-            book, standing = self.take_in.book, self.floor.standing
+        if self.operator_server is not None:
+            self.operator_server.close()
+        if self.group is not None:
+            book, standing = self.take_in.book, self.shared.standing
             releases = [(release.call, release.reason) for _, release in book.unsent]
             calls_here = {call: attempt.server.host for call, attempt in standing.items()}
-            self.beside.depart(bequest.written(calls_here, releases))
+            self.group.leave(handover.encode(calls_here, releases))
 
-    def keep_calls(self, plan: Plan) -> None:
+    def keep_calls(self, plan: RecoveryPlan) -> None:
         """Keep a journal of calls where the operator's file wants one, and settle what the last life left."""
-        if plan.calls is None:
+        if plan.call_journal is None:
             return
+        from wickstep.recovery.call_recovery import CallRecovery
         from wickstep.recovery.journal import Journal
-        from wickstep.recovery.returning import Returning
 
-        floor, calls = self.floor, plan.calls
-        folder, zero = Path(plan.folder), floor.unix_at_zero
-        self.journal = Journal(folder, floor.config.name, calls.bytes_most, calls.sync, zero)
+        shared, calls = self.shared, plan.call_journal
+        folder, zero = Path(plan.folder), shared.unix_offset
+        self.journal = Journal(folder, shared.config.name, calls.max_bytes, calls.sync, zero)
         confirm_us = int(calls.confirm_s * 1_000_000)
-        Returning(floor, self.take_in, self.journal, calls.pace, confirm_us, floor.config.seed).begin()
-        floor.notes = self.journal
+        CallRecovery(
+            shared, self.take_in, self.journal, calls.settle_rate, confirm_us, shared.config.seed
+        ).start()
+        shared.recorder = self.journal
 
-    def end_event(self) -> Event:
+    def termination_event(self) -> Event:
         """What SIGTERM means now."""
-        return Event.RELIEVED if self.beside is not None and self.beside.successor() else Event.TERM
+        return Event.HAND_OVER if self.group is not None and self.group.has_successor() else Event.TERM
 
     def turn(self) -> None:
         """Look at the state, and at who else is there, once a turn of the loop."""
-        if self.beside is not None:
-            if self.sharing != 1 + len(self.beside.others):
+        if self.group is not None:
+            if self.sharing != 1 + len(self.group.others):
                 self.divide()
-            if self.floor.list_known:
-                self.beside.ready()
-        state = self.floor.mode.state
-        if state is not self.seen:
-            log.warning("%s, after %s", state.value, self.seen.value)
-            self.seen, self.since = state, self.floor.now
+            if self.shared.list_known:
+                self.group.announce_ready()
+        state = self.shared.mode.state
+        if state is not self.applied_state:
+            log.warning("%s, after %s", state.value, self.applied_state.value)
+            self.applied_state, self.since = state, self.shared.now
             self.send_away()
 
-    def refuses(self) -> bool:
+    def refuses_set_ups(self) -> bool:
         """Whether set-ups that come now are turned away, since the process is drained or about to end."""
-        return draining.refuses(PLANS[self.seen], self.floor.now - self.since)
+        return draining.should_refuse(DRAIN_PLANS[self.applied_state], self.shared.now - self.since)
 
     def send_away(self) -> None:
         """Close callers' connections that nothing waits on, again and again while the state asks for it."""
-        floor, plan = self.floor, PLANS[self.seen]
-        if plan.close_from is None or self.looks_at > floor.now:
+        shared, plan = self.shared, DRAIN_PLANS[self.applied_state]
+        if plan.close_from is None or self.looks_at > shared.now:
             return
-        self.looks_at = floor.now + draining.LOOK_EVERY
-        floor.at(self.looks_at, self.send_away)
-        since = floor.now - self.since
-        here = [link for link in floor.callers if not link.leaving]
-        standing = {attempt.call.caller for attempt in floor.standing.values()}
+        self.looks_at = shared.now + draining.LOOK_EVERY
+        shared.schedule(self.looks_at, self.send_away)
+        since = shared.now - self.since
+        here = [link for link in shared.caller_links if not link.is_closing]
+        standing = {attempt.call.caller for attempt in shared.standing.values()}
         # A call whose own connection has gone is released on another: the last one stays for those.
-        last = [link for link in here if link in floor.speakers][-1:] if not standing <= {*here} else []
+        last = [link for link in here if link in shared.calling_links][-1:] if not standing <= {*here} else []
         for link in here:
             connection = Connection(
                 calls=len(link.calls) + (link in standing),
-                unread=not link.calls and link.unread(),
-                last=link in last,
-                caller=link in floor.speakers,
-                tester=link.spoke,
-                quiet=floor.now - link.heard_at,
+                has_unread=not link.calls and link.has_unread(),
+                keeps_releases=link in last,
+                carried_calls=link in shared.calling_links,
+                sent_tests=link.has_spoken,
+                idle=shared.now - link.heard_at,
             )
-            if draining.closes(plan, since, connection):
-                floor.counts["callers_sent_away"] += 1
+            if draining.should_close(plan, since, connection):
+                shared.counters["callers_sent_away"] += 1
                 self.take_in.drop(link)
 
     def divide(self) -> None:
@@ -151,37 +155,39 @@
         The controller's budgets for cold servers, trials and probes are a part of all softswitches' sum: each
         process counts itself as one of so many more. Callers' connections are divided likewise.
         """
-        floor = self.floor
-        before, self.sharing = self.sharing, 1 + len(self.beside.others if self.beside is not None else ())
+        shared = self.shared
+        before, self.sharing = self.sharing, 1 + len(self.group.others if self.group is not None else ())
         divided = replace(self.undivided, proxies=self.undivided.proxies * self.sharing)
         self.take_in.route.controller.settings = divided
-        floor.callers_most = floor.config.max_callers // self.sharing
+        shared.caller_limit = shared.config.max_callers // self.sharing
         log.warning("%d processes share this softswitch's part", self.sharing)
         if self.sharing < before:
             # What setup servers have said of calls on the last connections of who has gone, they say again on
             # the next that is opened.
-            for server in floor.servers.values():
-                self.take_in.send.connect(server, beside=True)
+            for server in shared.servers.values():
+                self.take_in.send.connect(server, additional=True)
 
     def born_ms(self) -> dict[str, int]:
         """The starts of the servers as the list tells them: each process has a zero of its own."""
-        return {server.host: self.floor.born_ms(server) for server in self.floor.servers.values()}
+        return {server.host: self.shared.born_ms(server) for server in self.shared.servers.values()}
 
     def keep(self) -> None:
         """Hand what the controller has learned to the thread that writes it."""
-        if self.beside is not None:
-            floor = self.floor
-            floor.at(floor.now + KEEP_EVERY, self.keep)
+        if self.group is not None:
+            shared = self.shared
+            shared.schedule(shared.now + KEEP_EVERY, self.keep)
             controller = self.take_in.route.controller
-            now = floor.now * 1000
-            self.beside.keep(learned.written(learned.kept(controller, self.born_ms(), now, now)))
+            now = shared.now * 1000
+            self.group.save_learned(
+                learned.encode(learned.take_snapshot(controller, self.born_ms(), now, now))
+            )
 
     def save(self) -> None:
         """Hand it to the thread that writes it into the operator's folder."""
         if self.store is not None:
-            floor = self.floor
-            floor.at(floor.now + self.store.every_us, self.save)
-            self.store.keep(self.take_in.route.controller, self.born_ms(), floor.now * 1000)
+            shared = self.shared
+            shared.schedule(shared.now + self.store.interval_us, self.save)
+            self.store.save_latest(self.take_in.route.controller, self.born_ms(), shared.now * 1000)
 
     def adopt(self, content: object) -> None:
         """Use what a process that is there, or was a moment ago, has learned; nonsense is passed over."""
@@ -189,33 +195,33 @@
             return
         now = time.monotonic_ns()  # the clock of both
         try:
-            found = learned.read(content)
+            found = learned.decode(content)
             if now - found.at > FRESH:
-                raise learned.Unusable(f"{(now - found.at) / 1e9:.0f} s old")
+                raise learned.InvalidState(f"{(now - found.at) / 1e9:.0f} s old")
             controller = self.take_in.route.controller
-            given = learned.adopt(controller, found, self.born_ms(), self.floor.now * 1000, now)
-        except learned.Unusable as trouble:
+            given = learned.restore(controller, found, self.born_ms(), self.shared.now * 1000, now)
+        except learned.InvalidState as trouble:
             log.warning("what was learned before is not used: %s", trouble)
         else:
             log.warning("starting with what was learned of %d servers", given)
 
-    def departed(self, left: Departed) -> None:
+    def on_handover(self, left: HandoverReceived) -> None:
         """An earlier process has ended: its calls stand on, and their releases come here."""
         try:
-            standing, releases = bequest.read(left.content)
-        except bequest.Unusable as trouble:
+            standing, releases = handover.decode(left.content)
+        except handover.InvalidHandover as trouble:
             log.warning("what another process has left is not used: %s", trouble)
             return
         log.warning("an earlier process has left %d calls and %d releases", len(standing), len(releases))
-        self.floor.bequest.add(standing, self.floor.now)
+        self.shared.inherited_calls.add(standing, self.shared.now)
         for call, reason in releases:
-            self.take_in.book.released(Release(call, reason), None)
+            self.take_in.book.send_release(Release(call, reason), None)
 
     def snapshot(self) -> None:
         """Count what only the loop may look at."""
-        floor = self.floor
-        floor.at(floor.now + SNAPSHOT_EVERY, self.snapshot)
-        listed = [s for s in floor.servers.values() if s.state is not ServerState.GONE]
+        shared = self.shared
+        shared.schedule(shared.now + SNAPSHOT_EVERY, self.snapshot)
+        listed = [s for s in shared.servers.values() if s.state is not ServerState.GONE]
         self.discovered = len(listed)
         self.ejected = sum(self.avoided(server.host) for server in listed)
 
@@ -223,25 +229,25 @@
         """Whether the controller passes a server over now, for what it did."""
         controller = self.take_in.route.controller
         server = controller.servers.get(host)
-        return server is not None and not controller.unmarked(server)
+        return server is not None and not controller.may_try(server)
 
     # Any thread.
 
     def status(self) -> tuple[bool, str]:
-        floor = self.floor
-        state = floor.mode.state
-        if state is State.SERVING and not floor.list_known:
+        shared = self.shared
+        state = shared.mode.state
+        if state is State.SERVING and not shared.list_known:
             return False, "starting: no setup server is known"
         return state is State.SERVING, state.value
 
     def figures(self) -> str:
-        floor = self.floor
+        shared = self.shared
         values = {
-            figures.FORWARDS: floor.counts["set_ups_sent"],
-            figures.OUTSTANDING: len(floor.open) + len(floor.standing),
-            figures.DISCOVERED: self.discovered,
-            figures.EJECTED: self.ejected,
+            metrics.FORWARDS: shared.counters["set_ups_sent"],
+            metrics.OUTSTANDING: len(shared.open_calls) + len(shared.standing),
+            metrics.DISCOVERED: self.discovered,
+            metrics.EJECTED: self.ejected,
         }
-        if floor.notes.kept is not None:
-            values[figures.JOURNAL] = int(floor.notes.kept)
-        return figures.written(floor.tally, values)
+        if shared.recorder.is_kept is not None:
+            values[metrics.JOURNAL] = int(shared.recorder.is_kept)
+        return metrics.format_metrics(shared.tally, values)
--- a/wickstep/recovery/returning.py
+++ b/wickstep/recovery/call_recovery.py
@@ -13,12 +13,12 @@
 
 from wickstep.interface import ServerState
 from wickstep.net import Reason, Release
-from wickstep.recovery.journal import Journal, Replayed
+from wickstep.recovery.journal import Journal, ReplayResult
 from wickstep.recovery.ledger import Phase
-from wickstep.recovery.settling import Settling, Step, Verdict, View
+from wickstep.recovery.reconciliation import Reconciler, ServerView, Step, Verdict
 
 if TYPE_CHECKING:
-    from wickstep.net.softswitch import Floor, TakeIn
+    from wickstep.net.softswitch import SharedState, TakeInStage
 
 log = logging.getLogger(__name__)
 
@@ -27,75 +27,81 @@
 OWED_US = 60_000_000  # a server that is not back by then has none of it
 
 
-class Returning:
+class CallRecovery:
     def __init__(
-        self, floor: Floor, take_in: TakeIn, journal: Journal, pace: float, confirm_us: int, seed: int
+        self,
+        shared: SharedState,
+        take_in: TakeInStage,
+        journal: Journal,
+        pace: float,
+        confirm_us: int,
+        seed: int,
     ) -> None:
-        self.floor, self.take_in, self.journal = floor, take_in, journal
+        self.shared, self.take_in, self.journal = shared, take_in, journal
         self._pace, self._confirm_us, self._random = pace, confirm_us, random.Random(seed)
-        self.settling = Settling({}, floor.now, pace, confirm_us, 0.0)
+        self.reconciler = Reconciler({}, shared.now, pace, confirm_us, 0.0)
         self.owed: dict[str, list[int]] = defaultdict(list)  # by server
         self._owed_until = 0
 
-    def begin(self) -> Replayed:
+    def start(self) -> ReplayResult:
         """Before the first caller, with the list of servers heard."""
-        floor = self.floor
-        found = self.journal.open(floor.now)
+        shared = self.shared
+        found = self.journal.open(shared.now)
         standing = {call: k.host for call, k in found.live.items() if k.phase is Phase.STANDS}
-        floor.bequest.add(standing, floor.now)
-        floor.bequest.on_taken = self._heard
+        shared.inherited_calls.add(standing, shared.now)
+        shared.inherited_calls.on_taken = self._heard
         for call, known in found.live.items():
             if known.host and known.phase is not Phase.STANDS:  # it may have run: never again
                 self.take_in.book.remember(call)
-        now, drawn = floor.now, self._random.random()
-        self.settling = Settling(found.live, now, self._pace, self._confirm_us, drawn)
+        now, drawn = shared.now, self._random.random()
+        self.reconciler = Reconciler(found.live, now, self._pace, self._confirm_us, drawn)
         self._owed_until = now + self._confirm_us + OWED_US
-        if found.live or found.spoilt or found.passed:
-            log.warning("the journal of calls: %s", found.told())
+        if found.live or found.corrupt or found.skipped:
+            log.warning("the journal of calls: %s", found.summary())
         self.go_on()
         return found
 
     def _heard(self, call: int) -> None:
         """A call from before has come to its end, or is about to be ended here: its caller is told next."""
-        self.settling.ended(call)
-        self.journal.over(call)
+        self.reconciler.call_ended(call)
+        self.journal.attempt_over(call)
 
     def go_on(self) -> None:
-        floor = self.floor
-        for step in self.settling.steps(self.views(), floor.now):
+        shared = self.shared
+        for step in self.reconciler.next_steps(self.views(), shared.now):
             self._do(step)
         self._pay()
-        if len(self.settling) or (self.owed and floor.now < self._owed_until):
-            floor.at(floor.now + EVERY_US, self.go_on)
-        elif any(self.settling.verdicts.values()):
-            told = ", ".join(f"{v.value} {count}" for v, count in self.settling.verdicts.items() if count)
+        if len(self.reconciler) or (self.owed and shared.now < self._owed_until):
+            shared.schedule(shared.now + EVERY_US, self.go_on)
+        elif any(self.reconciler.verdicts.values()):
+            told = ", ".join(f"{v.value} {count}" for v, count in self.reconciler.verdicts.items() if count)
             log.warning("calls from before are settled: %s", told)
 
-    def views(self) -> dict[str, View]:
+    def views(self) -> dict[str, ServerView]:
         return {
-            server.host: View(
+            server.host: ServerView(
                 server.state is not ServerState.GONE,
-                self.floor.born_ms(server),
+                self.shared.born_ms(server),
                 server.linked_at if server.link is not None else None,
             )
-            for server in self.floor.servers.values()
+            for server in self.shared.servers.values()
         }
 
     def _do(self, step: Step) -> None:
-        counts, call, host = self.floor.counts, step.call, step.known.host
+        counts, call, host = self.shared.counters, step.call, step.known.host
         counts[f"calls_from_before_{step.verdict.name.lower()}"] += 1
         match step.verdict:
             case Verdict.CONFIRMED:
                 return  # it stands on, in the table of calls from before
             case Verdict.CUT | Verdict.RELEASED:
-                if self.floor.bequest.take(call) is not None or step.known.phase is Phase.ENDING:
-                    self.take_in.book.released(Release(call, Reason.INTERRUPTED), None)
+                if self.shared.inherited_calls.take(call) is not None or step.known.phase is Phase.ENDING:
+                    self.take_in.book.send_release(Release(call, Reason.INTERRUPTED), None)
                 if step.verdict is Verdict.RELEASED:
                     self._owe(host, call)
                 return  # ended once its caller has heard
             case Verdict.GIVEN_UP:
                 self._owe(host, call)
-        self.journal.ended(call)
+        self.journal.call_ended(call)
 
     def _owe(self, host: str, call: int) -> None:
         if sum(map(len, self.owed.values())) < OWED_MOST:
@@ -104,7 +110,7 @@
     def _pay(self) -> None:
         """Release what is owed to servers that are connected; a server without the call takes no notice."""
         for host in [*self.owed]:
-            server = self.floor.servers.get(host)
+            server = self.shared.servers.get(host)
             if server is None or (server.link is not None and all(
                 server.link.send(Release(call, Reason.CLEARED)) for call in self.owed[host]
             )):
--- a/wickstep/recovery/envelope.py
+++ b/wickstep/recovery/envelope.py
@@ -1,7 +1,7 @@
 """Files that tell whether they are whole: one line with kind, version and checksum, then a body of JSON.
 
-This file owns that form and the way it is written and read. It must never raise anything but `Spoilt` on what
-stands in a file, follow a link, wait for a pipe, or read more than it was told to.
+This file owns that form and the way it is written and read. It must never raise anything but `CorruptFile` on
+what stands in a file, follow a link, wait for a pipe, or read more than it was told to.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 DIGEST = 16  # bytes
 
 
-class Spoilt(ValueError):
+class CorruptFile(ValueError):
     """A file that cannot be used; the text says why."""
 
 
@@ -29,27 +29,27 @@
     return hashlib.blake2b(head + b"\n" + body, digest_size=DIGEST).hexdigest()
 
 
-def seal(kind: str, content: Any) -> bytes:
+def pack(kind: str, content: Any) -> bytes:
     """What stands in a file of this kind. The content is of what JSON has."""
     body = ujson.dumps(content, escape_forward_slashes=False).encode()
     head = f"{MARK} {kind} {VERSION}".encode()
     return b"%b %b\n%b" % (head, _digest(head, body).encode(), body)
 
 
-def unseal(kind: str, raw: bytes) -> Any:
-    """The content; raises Spoilt."""
+def unpack(kind: str, raw: bytes) -> Any:
+    """The content; raises CorruptFile."""
     line, _, body = raw.partition(b"\n")
     words = line.split(b" ")
     if len(words) != 4 or words[0] != MARK.encode() or words[1] != kind.encode():
-        raise Spoilt(f"no {kind} of {MARK}")
+        raise CorruptFile(f"no {kind} of {MARK}")
     if words[2] != b"%d" % VERSION:
-        raise Spoilt(f"version {words[2][:20]!r}, this is {VERSION}")
+        raise CorruptFile(f"version {words[2][:20]!r}, this is {VERSION}")
     if words[3] != _digest(b" ".join(words[:3]), body).encode():
-        raise Spoilt("the checksum does not fit")
+        raise CorruptFile("the checksum does not fit")
     try:
         return ujson.loads(body)
     except ValueError as trouble:
-        raise Spoilt(f"no JSON: {trouble}") from trouble
+        raise CorruptFile(f"no JSON: {trouble}") from trouble
 
 
 def write(path: Path, kind: str, content: Any) -> None:
@@ -58,7 +58,7 @@
     descriptor = os.open(beside, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_NOFOLLOW, 0o600)
     try:
         with os.fdopen(descriptor, "wb") as file:
-            file.write(seal(kind, content))
+            file.write(pack(kind, content))
         os.replace(beside, path)
     except OSError:
         with contextlib.suppress(OSError):
@@ -66,7 +66,7 @@
         raise
 
 
-def own_bytes(path: Path, most: int) -> bytes:
+def read_own_file(path: Path, most: int) -> bytes:
     """At most so many bytes of a plain file of this user; OSError."""
     descriptor = os.open(path, os.O_RDONLY | os.O_NOFOLLOW | os.O_NONBLOCK | os.O_CLOEXEC)
     with os.fdopen(descriptor, "rb") as file:
@@ -77,13 +77,13 @@
 
 
 def read(path: Path, kind: str, most: int) -> Any | None:
-    """The content of a file of at most so many bytes, None where there is none; raises Spoilt."""
+    """The content of a file of at most so many bytes, None where there is none; raises CorruptFile."""
     try:
-        raw = own_bytes(path, most + 1)
+        raw = read_own_file(path, most + 1)
     except FileNotFoundError:
         return None
     except OSError as trouble:
-        raise Spoilt(str(trouble)) from trouble
+        raise CorruptFile(str(trouble)) from trouble
     if len(raw) > most:
-        raise Spoilt(f"more than {most} bytes")
-    return unseal(kind, raw)
+        raise CorruptFile(f"more than {most} bytes")
+    return unpack(kind, raw)
--- a/wickstep/recovery/ledger.py
+++ b/wickstep/recovery/ledger.py
@@ -30,7 +30,7 @@
 }
 
 
-class Known(NamedTuple):
+class CallState(NamedTuple):
     """What is known of a live call. `host` and `born_ms` say where its latest attempt went."""
 
     phase: Phase
@@ -41,12 +41,12 @@
 
 
 class Ledger:
-    def __init__(self, most: int = LIVE_MOST) -> None:
-        self.most = most
-        self.live: OrderedDict[int, Known] = OrderedDict()
+    def __init__(self, max_calls: int = LIVE_MOST) -> None:
+        self.max_calls = max_calls
+        self.live: OrderedDict[int, CallState] = OrderedDict()
         self.numbers: dict[tuple[str, int], int] = {}  # of servers, by host and start
         self._servers: dict[int, tuple[str, int]] = {}
-        self.forgotten = 0  # calls that had to leave the table
+        self.evicted = 0  # calls that had to leave the table
 
     def begin(self) -> None:
         """A new segment: numbers of servers count from 0 again."""
@@ -74,7 +74,7 @@
             case Kind.TAKEN:
                 if record.call in self.live:
                     return False
-                self._put(record.call, Known(Phase.TAKEN))
+                self._put(record.call, CallState(Phase.TAKEN))
                 return True
         known = self.live.get(record.call)
         if record.kind is Kind.ENDED:
@@ -84,7 +84,9 @@
             fits = known is None or known.phase is Phase.TAKEN
             if not where[0] or not fits:
                 return False
-            self._put(record.call, Known(Phase.OUT, *where, min(record.attempt, ATTEMPTS_MOST), record.at_ms))
+            self._put(
+                record.call, CallState(Phase.OUT, *where, min(record.attempt, ATTEMPTS_MOST), record.at_ms)
+            )
             return True
         phase = NEXT.get((known.phase, record.kind)) if known is not None else None
         if known is None or phase is None:
@@ -92,13 +94,13 @@
         self.live[record.call] = known._replace(phase=phase)
         return True
 
-    def _put(self, call: int, known: Known) -> None:
+    def _put(self, call: int, known: CallState) -> None:
         self.live[call] = known
-        if len(self.live) > self.most:
+        if len(self.live) > self.max_calls:
             self.live.popitem(last=False)
-            self.forgotten += 1
+            self.evicted += 1
 
-    def beginning(self) -> Iterator[Record]:
+    def snapshot(self) -> Iterator[Record]:
         """The records that a new segment begins with, from which a replay comes to what is live now."""
         calls = [*self.live.items()]
         self.begin()
--- a/wickstep/recovery/settling.py
+++ b/wickstep/recovery/reconciliation.py
@@ -12,17 +12,17 @@
 from enum import Enum
 from itertools import islice
 
-from wickstep.recovery.ledger import Known, Phase
+from wickstep.recovery.ledger import CallState, Phase
 
 SECOND = 1_000_000
 SAYS_S = 1.0  # after a connection is up a server has said what ended: it says so before anything else
-START_SPREAD_S = 0.5  # two hundred that return together begin at drawn moments within this
+START_JITTER_S = 0.5  # two hundred that return together begin at drawn moments within this
 BURST_S = 0.1  # pace that may be saved up
 LOOK_MOST = 2000  # calls that are looked at in one go: the loop has others to serve
 
 
 @dataclass(slots=True, frozen=True)
-class View:
+class ServerView:
     """A server as the list and the connections have it now."""
 
     there: bool  # on the list, and not gone
@@ -41,18 +41,18 @@
 @dataclass(slots=True, frozen=True)
 class Step:
     call: int
-    known: Known
+    known: CallState
     verdict: Verdict
 
 
-class Settling:
+class Reconciler:
     """All calls that were found. `drawn` in [0, 1) is this softswitch's phase among others that return."""
 
     def __init__(
-        self, found: Mapping[int, Known], began: int, pace: float, confirm_us: int, drawn: float
+        self, found: Mapping[int, CallState], began: int, pace: float, confirm_us: int, drawn: float
     ) -> None:
         self._until = began + confirm_us
-        self._first = began + int(drawn * START_SPREAD_S * SECOND)
+        self._first = began + int(drawn * START_JITTER_S * SECOND)
         self._pace = pace  # calls a second
         self._credit, self._credit_at = 0.0, self._first
         self._waiting = dict(found)  # in the order in which they are looked at next
@@ -62,11 +62,11 @@
         """Calls that are not settled yet."""
         return len(self._waiting)
 
-    def ended(self, call: int) -> None:
+    def call_ended(self, call: int) -> None:
         """Its end has been heard: nothing is left to be settled."""
         self._waiting.pop(call, None)
 
-    def steps(self, views: Mapping[str, View], now: int) -> list[Step]:
+    def next_steps(self, views: Mapping[str, ServerView], now: int) -> list[Step]:
         """What to do now; cuts first, since their callers hold dead calls."""
         if now < self._first or not self._waiting:
             return []
@@ -90,7 +90,7 @@
                 self._waiting[call] = known  # behind those that were not looked at
         return steps
 
-    def _verdict(self, known: Known, views: Mapping[str, View], now: int) -> Verdict | None:
+    def _verdict(self, known: CallState, views: Mapping[str, ServerView], now: int) -> Verdict | None:
         """None: not yet."""
         view = views.get(known.host)
         stands = known.phase is Phase.STANDS
--- a/wickstep/recovery/notes.py
+++ b/wickstep/recovery/recorder.py
@@ -6,26 +6,26 @@
 from __future__ import annotations
 
 
-class Notes:
+class CallRecorder:
     """Takes notes and forgets them. All times are those of the loop's clock."""
 
-    kept: bool | None = None  # whether a journal is kept: None where none is wanted, False where it can't be
+    is_kept: bool | None = None  # whether a journal is kept: None if none is wanted, False where it can't be
 
-    def taken(self, call: int) -> None:
+    def call_taken(self, call: int) -> None:
         """A set-up has become a call."""
 
-    def sent(self, call: int, attempt: int, host: str, born_ms: int) -> None:
+    def attempt_sent(self, call: int, attempt: int, host: str, born_ms: int) -> None:
         """An attempt is about to go out; `attempt` counts from 0, `born_ms` is its server's start."""
 
-    def over(self, call: int) -> None:
+    def attempt_over(self, call: int) -> None:
         """The attempt that was out has ended, and the call has not; or what stood is over, and its caller is
         told."""
 
-    def stands(self, call: int) -> None:
+    def call_stands(self, call: int) -> None:
         """The call stands; its caller has not been told yet."""
 
-    def ended(self, call: int) -> None:
+    def call_ended(self, call: int) -> None:
         """It has its final answer and does not stand; or its caller has ended it, or confirmed its end."""
 
-    def turn(self, now: int) -> None:
+    def end_turn(self, now: int) -> None:
         """The loop has turned."""
--- a/wickstep/recovery/records.py
+++ b/wickstep/recovery/records.py
@@ -58,7 +58,7 @@
     return hashlib.blake2b(softswitch.encode(), digest_size=8).digest()
 
 
-def head(softswitch: str, number: int) -> bytes:
+def encode_head(softswitch: str, number: int) -> bytes:
     plain = HEAD.pack(MAGIC, owner(softswitch), number)
     return plain + CRC.pack(zlib.crc32(plain))
 
@@ -77,7 +77,7 @@
     return int(number)
 
 
-def written(record: Record) -> bytes:
+def encode(record: Record) -> bytes:
     """A record as it stands in a segment. ValueError or struct.error for one that cannot be."""
     match record.kind:
         case Kind.SERVER:
--- a/wickstep/rehearsal/callers.py
+++ b/wickstep/rehearsal/callers.py
@@ -13,11 +13,11 @@
 
 from wickstep.net import (
     Answer,
-    Malformed,
+    MalformedMessage,
     Message,
     Reason,
     Release,
-    ReleaseHeard,
+    ReleaseComplete,
     SetUp,
     Test,
     TestResult,
@@ -71,7 +71,7 @@
         try:
             for message in self.splitter.feed(data):
                 self.dealt(message, at)
-        except Malformed:
+        except MalformedMessage:
             if self.relay is not None:
                 self.relay.reset()
 
@@ -96,7 +96,7 @@
         elif isinstance(message, Answer):
             trace.note(at, What.FINAL, self.softswitch, message.call, why="stands")  # a second one
         elif isinstance(message, Release):
-            self.say(ReleaseHeard(message.call))
+            self.say(ReleaseComplete(message.call))
             trace.note(at, What.TOLD, self.softswitch, message.call)
 
     def leave(self, call: int, why: str) -> None:
--- a/wickstep/rehearsal/processes.py
+++ b/wickstep/rehearsal/processes.py
@@ -153,12 +153,12 @@
 
     def age_state(self, seconds: float) -> None:
         """Make the stored file so much older, as if the process had been down for that long."""
-        path = self.state / store.NAME
-        with contextlib.suppress(envelope.Spoilt):
-            content = envelope.read(path, store.KIND, store.MOST)
+        path = self.state / store.FILE_NAME
+        with contextlib.suppress(envelope.CorruptFile):
+            content = envelope.read(path, store.FILE_KIND, store.MAX_BYTES)
             if content is not None:
                 content["learned"]["at"] -= int(seconds * 1e9)
-                envelope.write(path, store.KIND, content)
+                envelope.write(path, store.FILE_KIND, content)
 
     def logs(self) -> str:
         return "".join(file.read_text(errors="replace") for file in sorted(self.folder.glob("*.log")))
--- a/wickstep/rehearsal/scenario.py
+++ b/wickstep/rehearsal/scenario.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass, field
 
-from wickstep.forms import BadForm, Form, root
+from wickstep.forms import KdlError, KdlNode, parse_root
 
 SOFTSWITCHES_MOST, SERVERS_MOST = 250, 24
 RATE_MOST = 2000.0  # calls a second
@@ -77,71 +77,73 @@
 
 
 def read(text: str) -> Scenario:
-    """A scenario from its text; raises BadForm with what is wrong."""
-    form = root(text, "rehearsal")
-    name = form.text("")
-    seed = form.whole("seed", 1, 0, 2**31)
-    softswitches = form.whole("softswitches", 6, 1, SOFTSWITCHES_MOST)
-    lasts = form.number("lasts-s", 10, 1, LASTS_MOST)
-    keeps = form.text("state", "none", ("none", "kept", "calls"))
+    """A scenario from its text; raises KdlError with what is wrong."""
+    form = parse_root(text, "rehearsal")
+    name = form.take_text("")
+    seed = form.take_integer("seed", 1, 0, 2**31)
+    softswitches = form.take_integer("softswitches", 6, 1, SOFTSWITCHES_MOST)
+    lasts = form.take_number("lasts-s", 10, 1, LASTS_MOST)
+    keeps = form.take_text("state", "none", ("none", "kept", "calls"))
     servers, callers, faults = ServerPlan(), CallerPlan(), []
-    for child in form.children("servers", "callers", "fault"):
+    for child in form.take_children("servers", "callers", "fault"):
         if child.name == "servers":
             servers = _servers(child)
         elif child.name == "callers":
             callers = _callers(child)
         else:
             faults.append(_fault(child, lasts, servers.count))
-        child.done()
-    form.done()
+        child.reject_unread()
+    form.reject_unread()
     faults.sort(key=lambda fault: fault.at)
     return Scenario(
         name, seed, softswitches, lasts, servers, callers, tuple(faults), keeps != "none", keeps == "calls"
     )
 
 
-def _servers(form: Form) -> ServerPlan:
+def _servers(form: KdlNode) -> ServerPlan:
     plain = ServerPlan()
     return ServerPlan(
-        count=form.whole("", plain.count, 1, SERVERS_MOST),
-        rate=form.number("rate", plain.rate, 1, RATE_MOST),
-        lines=form.whole("lines", plain.lines, 1, 100_000),
-        queue_s=form.number("queue-s", plain.queue_s, 0.01, 60),
-        cold_from=form.number("cold-from", plain.cold_from, 0.01, 1),
-        cold_s=form.number("cold-s", plain.cold_s, 0, 60),
-        fall_multiple=form.number("fall-multiple", plain.fall_multiple, 1, 100),
-        fall_s=form.number("fall-s", plain.fall_s, 0.1, 60),
-        links_most=form.whole("links-most", plain.links_most, 1, 10_000),
+        count=form.take_integer("", plain.count, 1, SERVERS_MOST),
+        rate=form.take_number("rate", plain.rate, 1, RATE_MOST),
+        lines=form.take_integer("lines", plain.lines, 1, 100_000),
+        queue_s=form.take_number("queue-s", plain.queue_s, 0.01, 60),
+        cold_from=form.take_number("cold-from", plain.cold_from, 0.01, 1),
+        cold_s=form.take_number("cold-s", plain.cold_s, 0, 60),
+        fall_multiple=form.take_number("fall-multiple", plain.fall_multiple, 1, 100),
+        fall_s=form.take_number("fall-s", plain.fall_s, 0.1, 60),
+        links_most=form.take_integer("links-most", plain.links_most, 1, 10_000),
     )
 
 
-def _callers(form: Form) -> CallerPlan:
+def _callers(form: KdlNode) -> CallerPlan:
     plain = CallerPlan()
     return CallerPlan(
-        rate=form.number("rate", plain.rate, 0.1, RATE_MOST),
-        wait_s=form.number("wait-s", plain.wait_s, 0.1, 10),
-        aim_s=form.number("aim-s", plain.aim_s, 0.05, 10),
-        hold_s=form.number("hold-s", plain.hold_s, 0.01, 60),
-        spread=form.number("spread", plain.spread, 1, 20),
-        notice_s=form.number("notice-s", plain.notice_s, 0, 10),
-        leave=form.number("leave", plain.leave, 0, 1),
-        again=form.text("again", "no", ("no", "yes")) == "yes",
+        rate=form.take_number("rate", plain.rate, 0.1, RATE_MOST),
+        wait_s=form.take_number("wait-s", plain.wait_s, 0.1, 10),
+        aim_s=form.take_number("aim-s", plain.aim_s, 0.05, 10),
+        hold_s=form.take_number("hold-s", plain.hold_s, 0.01, 60),
+        spread=form.take_number("spread", plain.spread, 1, 20),
+        notice_s=form.take_number("notice-s", plain.notice_s, 0, 10),
+        leave=form.take_number("leave", plain.leave, 0, 1),
+        again=form.take_text("again", "no", ("no", "yes")) == "yes",
     )
 
 
-def _fault(form: Form, lasts: float, servers: int) -> Fault:
+def _fault(form: KdlNode, lasts: float, servers: int) -> Fault:
     plain = Fault(0, "")
     fault = Fault(
-        what=form.text("", None, FAULTS),
-        at=form.number("at", None, 0, lasts),
-        part=form.number("part", plain.part, 0, 1),
-        group=form.whole("group", plain.group, 0, SOFTSWITCHES_MOST) if "group" in form.given() else -1,
-        of=form.whole("of", plain.of, 1, SOFTSWITCHES_MOST),
-        for_s=form.number("for-s", plain.for_s, 0, lasts),
-        server=form.whole("server", 0, 0, servers - 1) if "server" in form.given() else -1,
-        back_s=form.number("back-s", plain.back_s, 0, lasts),
-        delay_s=form.number("delay-s", plain.delay_s, 0, DELAY_MOST),
+        what=form.take_text("", None, FAULTS),
+        at=form.take_number("at", None, 0, lasts),
+        part=form.take_number("part", plain.part, 0, 1),
+        group=form.take_integer("group", plain.group, 0, SOFTSWITCHES_MOST)
+        if "group" in form.unread_properties()
+        else -1,
+        of=form.take_integer("of", plain.of, 1, SOFTSWITCHES_MOST),
+        for_s=form.take_number("for-s", plain.for_s, 0, lasts),
+        server=form.take_integer("server", 0, 0, servers - 1) if "server" in form.unread_properties() else -1,
+        back_s=form.take_number("back-s", plain.back_s, 0, lasts),
+        delay_s=form.take_number("delay-s", plain.delay_s, 0, DELAY_MOST),
     )
     if fault.what in ("replace", "drain") and fault.server < 0:
-        raise BadForm(f"fault {fault.what}: which server?")
+        raise KdlError(f"fault {fault.what}: which server?")
     return fault
--- a/wickstep/rehearsal/servers.py
+++ b/wickstep/rehearsal/servers.py
@@ -19,12 +19,12 @@
 from wickstep.net import (
     Answer,
     GroupState,
-    Malformed,
+    MalformedMessage,
     Message,
     Note,
     Reason,
     Release,
-    ReleaseHeard,
+    ReleaseComplete,
     SetUp,
     Test,
     bulletin,
@@ -57,7 +57,7 @@
         try:
             for message in self.splitter.feed(data):
                 self.server.heard(self, message, at)
-        except Malformed:
+        except MalformedMessage:
             self.relay.reset()
 
     def ended(self) -> None:
@@ -113,13 +113,13 @@
             case SetUp():
                 self._set_up(link, message.call, at)
             case Release():
-                link.say(ReleaseHeard(message.call))
+                link.say(ReleaseComplete(message.call))
                 if message.call in link.out:
                     link.out.discard(message.call)
                     self.trace.note(at, What.ENDED, link.softswitch, message.call, self.name, "given up")
                 else:
                     self.standing.pop(message.call, None)
-            case ReleaseHeard():
+            case ReleaseComplete():
                 self.unheard.get(link.softswitch, {}).pop(message.call, None)
             case Test():
                 self.trace.note(at, What.PROBED, link.softswitch, 0, self.name)
--- a/wickstep/spread/logs.py
+++ b/wickstep/spread/logs.py
@@ -14,8 +14,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from wickstep.spread.reasons import Why
-from wickstep.spread.record import BIN_S, Record, Sent, ServerLife
+from wickstep.spread.reasons import SendReason
+from wickstep.spread.record import BIN_S, Record, SentSetUp, ServerTimeline
 
 LINE = re.compile(r"\d{4}-\d\d-\d\d (\d\d):(\d\d):(\d\d),(\d{3}) wickstep\.net\.softswitch (.*)")
 SENT = re.compile(r"([0-9a-f]{16}) #(\d+) sent to (\S+) \((\w+)\)")
@@ -26,16 +26,16 @@
 
 
 @dataclass(slots=True)
-class Reader:
+class LogReader:
     """All logs of one fleet, one after the other."""
 
-    sent: list[Sent] = field(default_factory=list)
+    sent: list[SentSetUp] = field(default_factory=list)
     stood: list[tuple[float, str, float]] = field(default_factory=list)  # when, where, after how many seconds
     full: list[tuple[float, str]] = field(default_factory=list)
     refused: list[float] = field(default_factory=list)
-    unread: int = 0  # lines of the softswitch that are of no kind known here
+    unknown_lines: int = 0  # lines of the softswitch that are of no kind known here
 
-    def add(self, softswitch: int, lines: Iterable[str]) -> None:
+    def add_log(self, softswitch: int, lines: Iterable[str]) -> None:
         """One softswitch's log; times of day, of one day or from before to after midnight."""
         last = 0.0
         for text in lines:
@@ -50,8 +50,8 @@
             self._event(softswitch, at, found[5])
 
     def _event(self, softswitch: int, at: float, text: str) -> None:
-        if (found := SENT.match(text)) and found[4] in {why.value for why in Why}:
-            self.sent.append(Sent(at, softswitch, found[3], Why(found[4])))
+        if (found := SENT.match(text)) and found[4] in {why.value for why in SendReason}:
+            self.sent.append(SentSetUp(at, softswitch, found[3], SendReason(found[4])))
         elif found := STANDS.match(text):
             self.stood.append((at, found[2], int(found[3]) / 1e6))
         elif found := FULL.match(text):
@@ -60,9 +60,9 @@
             if found[2] in ("refused", "turned_away"):
                 self.refused.append(at)
         else:
-            self.unread += 1
+            self.unknown_lines += 1
 
-    def record(self, aim_s: float) -> Record:
+    def build_record(self, aim_s: float) -> Record:
         """What was read, with times from the first set-up; calls that stood after `aim_s` count as late."""
         if not self.sent:
             return Record(0.0)
@@ -70,7 +70,7 @@
         lasts = max(item.at for item in self.sent) - began + BIN_S
         record = Record(
             lasts,
-            [Sent(item.at - began, item.softswitch, item.server, item.why) for item in self.sent],
+            [SentSetUp(item.at - began, item.softswitch, item.server, item.reason) for item in self.sent],
             full=[(at - began, server) for at, server in self.full],
             refused=[at - began for at in self.refused],
             overdue=[(at - began - took + aim_s, at - began) for at, _, took in self.stood if took > aim_s],
@@ -78,5 +78,7 @@
         done = Counter((server, int(at - began)) for at, server, _ in self.stood)
         for server in {item.server for item in self.sent}:
             most = max((count for (name, _), count in done.items() if name == server), default=0)
-            record.servers[server] = ServerLife([float(most)] * record.bins(), [-1.0] * record.bins())
+            record.servers[server] = ServerTimeline(
+                [float(most)] * record.bin_count(), [-1.0] * record.bin_count()
+            )
         return record
--- a/wickstep/spread/measures.py
+++ b/wickstep/spread/measures.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable, Iterator, Mapping, Sequence
 from dataclasses import dataclass
 
-from wickstep.spread.reasons import Why
+from wickstep.spread.reasons import SendReason
 from wickstep.spread.record import BIN_S, Record
 
 BLOCK_S = 2.0  # dispersion is taken within spans of this length, in which the load counts as steady
@@ -36,14 +36,14 @@
 
 def measure(record: Record, begin: float = 0.0, end: float | None = None) -> Spread:
     """All measures over [begin, end), to the end of the record by default."""
-    until = record.lasts_s if end is None else min(end, record.lasts_s)
+    until = record.duration_s if end is None else min(end, record.duration_s)
     first, last = round(begin / BIN_S), round(until / BIN_S)
-    counts = arrivals(record, first, last)
-    able = {name: life.able[first:last] for name, life in record.servers.items()}
+    counts = count_arrivals(record, first, last)
+    able = {name: life.capacity[first:last] for name, life in record.servers.items()}
     peaks, chances = peak_over_mean(counts, able)
     in_trouble = troubled(record)[first:last]
     idle = {name: life.idle[first:last] for name, life in record.servers.items()}
-    reasons = Counter(item.why for item in record.sent if begin <= item.at < until)
+    reasons = Counter(item.reason for item in record.sent if begin <= item.at < until)
     return Spread(
         peak_over_mean=mean(peaks),
         peak_by_chance=mean(chances),
@@ -53,11 +53,11 @@
         attempts=sum(reasons.values()),
         full=sum(begin <= at < until for at, _ in record.full),
         refused=sum(begin <= at < until for at in record.refused),
-        by_reason={why.value: reasons[why] for why in Why},
+        by_reason={why.value: reasons[why] for why in SendReason},
     )
 
 
-def arrivals(record: Record, first: int, last: int) -> dict[str, list[int]]:
+def count_arrivals(record: Record, first: int, last: int) -> dict[str, list[int]]:
     """Set-ups at each server in each span of `BIN_S`."""
     counts = {name: [0] * (last - first) for name in record.servers}
     for item in record.sent:
@@ -158,9 +158,9 @@
 
 def troubled(record: Record) -> list[bool]:
     """For each span of `BIN_S`, whether a call was refused in it, or had waited over its aim."""
-    found = [False] * record.bins()
+    found = [False] * record.bin_count()
     for at in record.refused:
-        if 0 <= at < record.lasts_s:
+        if 0 <= at < record.duration_s:
             found[min(int(at / BIN_S), len(found) - 1)] = True
     for since, until in record.overdue:
         for place in range(max(int(since / BIN_S), 0), min(int(until / BIN_S) + 1, len(found))):
--- a/wickstep/spread/report.py
+++ b/wickstep/spread/report.py
@@ -12,7 +12,7 @@
 
 from wickstep.spread import measures
 from wickstep.spread.measures import Spread
-from wickstep.spread.reasons import Why
+from wickstep.spread.reasons import SendReason
 from wickstep.spread.record import BIN_S, Record
 
 ROWS_MOST = 24  # servers in a table, those with most set-ups over capacity first
@@ -35,7 +35,7 @@
 """
 NAMES = (
     "peak/mean", "by chance", "dispersion", "idle in trouble%", "trouble%", "attempts", "full", "refused",
-    *(why.value for why in Why),
+    *(why.value for why in SendReason),
 )  # fmt: skip
 
 
@@ -53,22 +53,22 @@
     return [
         f"{found.peak_over_mean:.2f}", f"{found.peak_by_chance:.2f}", f"{found.dispersion:.2f}", idle,
         f"{100 * found.trouble:.1f}", str(found.attempts), str(found.full), str(found.refused),
-        *(str(found.by_reason[why.value]) for why in Why),
+        *(str(found.by_reason[why.value]) for why in SendReason),
     ]  # fmt: skip
 
 
 def by_server(record: Record, phase: Phase) -> list[list[str]]:
     """For each server: set-ups over capacity, its largest second, idle time, and set-ups by reason."""
-    sent: dict[str, Counter[Why]] = defaultdict(Counter)
+    sent: dict[str, Counter[SendReason]] = defaultdict(Counter)
     seconds: Counter[tuple[str, int]] = Counter()
     for item in record.sent:
         if phase.begin <= item.at < phase.end:
-            sent[item.server][item.why] += 1
+            sent[item.server][item.reason] += 1
             seconds[(item.server, int(item.at))] += 1
     first, last = round(phase.begin / BIN_S), round(phase.end / BIN_S)
     rows = []
     for name, life in record.servers.items():
-        could = sum(life.able[first:last]) * BIN_S
+        could = sum(life.capacity[first:last]) * BIN_S
         came = sum(sent[name].values())
         usual = could / max(phase.end - phase.begin, 1e-9)
         load = came / could if could else 0.0
@@ -76,22 +76,22 @@
         idle = measures.mean(life.idle[first:last])
         rows.append((load, [
             name, f"{usual:.1f}", f"{load:.2f}", f"{largest / usual if usual else 0:.2f}",
-            f"{100 * idle:.0f}" if idle >= 0 else "-", *(str(sent[name][why]) for why in Why),
+            f"{100 * idle:.0f}" if idle >= 0 else "-", *(str(sent[name][why]) for why in SendReason),
         ]))  # fmt: skip
     rows.sort(key=lambda row: -row[0])
-    heading = ["server", "able/s", "load", "largest second", "idle%", *(why.value for why in Why)]
+    heading = ["server", "able/s", "load", "largest second", "idle%", *(why.value for why in SendReason)]
     return [heading, *(row for _, row in rows[:ROWS_MOST])]
 
 
-def lines(record: Record, phases: Sequence[Phase]) -> list[str]:
+def format_lines(record: Record, phases: Sequence[Phase]) -> list[str]:
     """For a person at a terminal."""
     table = [["phase", *NAMES]]
     for phase in phases:
         table.append([phase.name, *cells(measures.measure(record, phase.begin, phase.end))])
-    return [*aligned(table), "", *aligned(by_server(record, phases[-1]))]
+    return [*align_columns(table), "", *align_columns(by_server(record, phases[-1]))]
 
 
-def aligned(table: Sequence[Sequence[str]]) -> list[str]:
+def align_columns(table: Sequence[Sequence[str]]) -> list[str]:
     widths = [max(len(row[place]) for row in table) for place in range(len(table[0]))]
     return [
         "  ".join(
@@ -102,7 +102,7 @@
     ]
 
 
-def page(title: str, record: Record, phases: Sequence[Phase]) -> str:
+def render_page(title: str, record: Record, phases: Sequence[Phase]) -> str:
     """The same as one page of HTML with a plot; needs the development requirements."""
     import jinja2
 
@@ -120,9 +120,9 @@
     """Set-ups over capacity by second, as SVG: of all servers, of the most and of the least loaded."""
     import pygal
 
-    counts = measures.arrivals(record, 0, record.bins())
+    counts = measures.count_arrivals(record, 0, record.bin_count())
     everyone, most, least = [], [], []
-    able = {name: life.able for name, life in record.servers.items()}
+    able = {name: life.capacity for name, life in record.servers.items()}
     for came, could in measures.by_second(counts, able):
         loads = [came[name] / could[name] for name in counts if could[name]]
         total = sum(could.values())
