--- a/tests/test_number_stories.py
+++ b/tests/test_number_stories.py
@@ -188,7 +188,7 @@
         (text(' prefix "6" strip=1 prepend="6"\n'), "line 7: translations lead back"),
         (text(' prefix "6" route="nowhere"\n'), "line 7: prefix 6: no route"),
         (text(' prefixes "list.csv" count=9\n'), "list.csv"),
-        ("//" + "x" * reader.TEXT_MOST + text(), "characters"),
+        ("//" + "x" * reader.MAX_SETTINGS_CHARACTERS + text(), "characters"),
         (text(""), "no prefix"),
         ("\0\xff{{{", ""),
     ],
--- a/tests/test_numbering.py
+++ b/tests/test_numbering.py
@@ -1,4 +1,7 @@
-"""Number analysis: pure parts against plain readings of what they promise."""
+"""Number analysis: prefix index, normal forms, schedules, table reader and verdicts.
+
+Tests here must open no socket and no file: only the pure modules are covered.
+"""
 
 from __future__ import annotations
 
@@ -13,51 +16,51 @@
 from hypothesis import strategies as st
 
 from wickstep.numbering import digits, table
-from wickstep.numbering.analysis import Analysis, Ported, Verdict, analyse, resolve
-from wickstep.numbering.digits import BadNumber, Plan
-from wickstep.numbering.index import Duplicate, PrefixIndex, cover
+from wickstep.numbering.analysis import Analysis, PortingResult, Verdict, analyse, resolve
+from wickstep.numbering.digits import DialPlan, InvalidNumber
+from wickstep.numbering.index import DuplicatePrefix, PrefixIndex, range_to_prefixes
 from wickstep.numbering.reader import read_table
-from wickstep.numbering.schedule import Hours, Schedule, read_days
-from wickstep.numbering.table import BadTable, Member, Route, Table
+from wickstep.numbering.schedule import Schedule, TimeRange, parse_days
+from wickstep.numbering.table import InvalidTable, Member, Route, Table
 
 DIGITS = st.text("0123456789abcdef", max_size=16)
-FEW = st.text("012", max_size=16)  # so that prefixes overlap
-MALAYSIA = Plan(country="60", international="00", national="0", short_most=5, area="3")
+OVERLAPPING_DIGITS = st.text("012", max_size=16)  # few digits, so that prefixes overlap
+MALAYSIA = DialPlan(country="60", international="00", national="0", max_short_code_digits=5, area="3")
 
 
-TABLES = st.dictionaries(FEW | DIGITS, st.integers(0, 2**32 - 1), max_size=40)
+TABLES = st.dictionaries(OVERLAPPING_DIGITS | DIGITS, st.integers(0, 2**32 - 1), max_size=40)
 
 
-@given(TABLES, st.lists(FEW | DIGITS, max_size=20))
-def test_the_index_finds_what_a_scan_of_all_prefixes_finds(table: dict[str, int], numbers: list[str]) -> None:
+@given(TABLES, st.lists(OVERLAPPING_DIGITS | DIGITS, max_size=20))
+def test_index_matches_agree_with_a_scan_of_all_prefixes(table: dict[str, int], numbers: list[str]) -> None:
     index = PrefixIndex(table.items())
     assert len(index) == len(table)
     for number in [*numbers, *table]:
-        plain = sorted((prefix for prefix in table if number.startswith(prefix)), key=len, reverse=True)
-        assert list(index.all(number)) == [(prefix, table[prefix]) for prefix in plain]
-        assert index.longest(number) == ((plain[0], table[plain[0]]) if plain else None)
+        expected = sorted((prefix for prefix in table if number.startswith(prefix)), key=len, reverse=True)
+        assert list(index.matches(number)) == [(prefix, table[prefix]) for prefix in expected]
+        assert index.longest_match(number) == ((expected[0], table[expected[0]]) if expected else None)
 
 
-def test_a_prefix_given_twice_is_no_table() -> None:
-    with pytest.raises(Duplicate) as caught:
+def test_index_refuses_a_prefix_given_twice() -> None:
+    with pytest.raises(DuplicatePrefix) as caught:
         PrefixIndex([("60", 1), ("603", 2), ("60", 3)])
     assert (caught.value.prefix, {caught.value.first, caught.value.second}) == ("60", {1, 3})
 
 
 @given(st.sampled_from([4, 15, 16]), st.data())
-def test_a_range_is_covered_exactly_once_by_few_prefixes(size: int, data: st.DataObject) -> None:
-    base, form = (16, f"{{:0{size}x}}") if size == 16 else (10, f"{{:0{size}d}}")
-    most = base**size - 1
-    first, last = sorted((data.draw(st.integers(0, most)), data.draw(st.integers(0, most))))
-    prefixes = cover(form.format(first), form.format(last))
+def test_range_is_covered_exactly_once_by_few_prefixes(size: int, data: st.DataObject) -> None:
+    base, digit_format = (16, f"{{:0{size}x}}") if size == 16 else (10, f"{{:0{size}d}}")
+    highest = base**size - 1
+    first, last = sorted((data.draw(st.integers(0, highest)), data.draw(st.integers(0, highest))))
+    prefixes = range_to_prefixes(digit_format.format(first), digit_format.format(last))
     assert len(prefixes) <= 2 * (base - 1) * size
-    for number in {first, last, (first + last) // 2, max(first - 1, 0), min(last + 1, most)}:
-        hits = sum(form.format(number).startswith(prefix) for prefix in prefixes)
+    for number in {first, last, (first + last) // 2, max(first - 1, 0), min(last + 1, highest)}:
+        hits = sum(digit_format.format(number).startswith(prefix) for prefix in prefixes)
         assert hits == (first <= number <= last)
 
 
 @pytest.mark.parametrize(
-    ("dialled", "normal"),
+    ("dialled", "normal_form"),
     [
         ("+60 3-8888 1234", "60388881234"),
         ("0060388881234", "60388881234"),
@@ -69,79 +72,81 @@
         ("1234567890123456", "1234567890123456"),  # private, though all decimal
     ],
 )
-def test_one_number_has_one_normal_form(dialled: str, normal: str) -> None:
-    assert MALAYSIA.normal(dialled) == normal
+def test_all_dialled_forms_of_a_number_have_one_normal_form(dialled: str, normal_form: str) -> None:
+    assert MALAYSIA.normalise(dialled) == normal_form
 
 
 @pytest.mark.parametrize(
     "dialled", ["", "+", "00", "()", "12x4", "+60a", "1" * 17, "-" * 65, "\u0661\u0662", "\u00b2"]
 )
-def test_what_is_no_number_is_told_as_such(dialled: str) -> None:
-    with pytest.raises(BadNumber):
-        MALAYSIA.normal(dialled)
+def test_normalisation_refuses_invalid_numbers(dialled: str) -> None:
+    with pytest.raises(InvalidNumber):
+        MALAYSIA.normalise(dialled)
 
 
 @given(st.text(max_size=80))
-def test_whatever_is_dialled_ends_in_digits_or_in_the_one_error(dialled: str) -> None:
-    with contextlib.suppress(BadNumber):
-        assert digits.check(MALAYSIA.normal(dialled))
+def test_normalisation_gives_digits_or_invalid_number_for_any_text(dialled: str) -> None:
+    with contextlib.suppress(InvalidNumber):
+        assert digits.check(MALAYSIA.normalise(dialled))
 
 
-# Schedules.
+# Schedules
 
 
-def at(text: str, zone: str = "UTC", fold: int = 0) -> float:
+def unix_time(text: str, zone: str = "UTC", fold: int = 0) -> float:
     return datetime.fromisoformat(text).replace(tzinfo=ZoneInfo(zone), fold=fold).timestamp()
 
 
-def schedule(*hours: str, zone: str = "UTC", days: str = "daily", **dates: str) -> Schedule:
-    weekly = tuple((read_days(days), Hours.read(text)) for text in hours)
+def make_schedule(*hours: str, zone: str = "UTC", days: str = "daily", **dates: str) -> Schedule:
+    weekly = tuple((parse_days(days), TimeRange.parse(text)) for text in hours)
     exceptions = {
-        datetime.strptime(day, "d%Y%m%d").date(): tuple(map(Hours.read, text.split()))
+        datetime.strptime(day, "d%Y%m%d").date(): tuple(map(TimeRange.parse, text.split()))
         for day, text in dates.items()
     }
     return Schedule("s", ZoneInfo(zone), weekly, exceptions)
 
 
-NIGHT = schedule("22:00-02:00", days="fri", d20260130="")  # a Friday that is closed, after midnight too
-SPRING = schedule("02:15-02:45", "01:30-02:30", zone="Europe/Berlin")  # 2026-03-29 02:00 becomes 03:00
-AUTUMN = schedule("02:15-02:45", zone="Europe/Berlin")  # 2026-10-25 03:00 becomes 02:00
+# The exception closes one Friday, including its hours past midnight.
+FRIDAY_NIGHT = make_schedule("22:00-02:00", days="fri", d20260130="")
+# On 2026-03-29 02:00 becomes 03:00, on 2026-10-25 03:00 becomes 02:00.
+CLOCKS_FORWARD = make_schedule("02:15-02:45", "01:30-02:30", zone="Europe/Berlin")
+CLOCKS_BACK = make_schedule("02:15-02:45", zone="Europe/Berlin")
 
 
 @pytest.mark.parametrize(
-    ("plan", "instant", "is_open"),
+    ("schedule", "instant", "is_open"),
     [
-        (schedule("08:30-17:30"), at("2026-12-01T08:30"), True),
-        (schedule("08:30-17:30"), at("2026-12-01T17:30"), False),
-        (schedule("00:00-24:00"), at("2026-12-01T23:59:59.999"), True),
-        (schedule("08:00-09:00", zone="Asia/Kuala_Lumpur"), at("2026-12-01T00:30"), True),
-        (schedule("08:00-09:00", days="sat-mon"), at("2026-12-01T08:30"), False),  # a Tuesday
-        (schedule("08:00-09:00", days="sat-mon"), at("2026-11-30T08:30"), True),
-        (NIGHT, at("2026-01-23T23:00"), True),
-        (NIGHT, at("2026-01-24T01:59"), True),  # Saturday, but of Friday's hours
-        (NIGHT, at("2026-01-24T02:00"), False),
-        (NIGHT, at("2026-01-24T22:30"), False),
-        (NIGHT, at("2026-01-31T01:00"), False),
-        (schedule(d20260201="10:00-11:00"), at("2026-02-01T10:30"), True),
-        (SPRING, at("2026-03-29T01:45", "Europe/Berlin"), True),
-        (SPRING, at("2026-03-29T03:00", "Europe/Berlin"), False),  # 02:00 to 02:30 did not occur
-        (AUTUMN, at("2026-10-25T02:30", "Europe/Berlin", fold=0), True),
-        (AUTUMN, at("2026-10-25T02:30", "Europe/Berlin", fold=1), True),  # it occurs twice
-        (schedule("00:00-24:00"), -1.0, False),
-        (schedule("00:00-24:00"), 1e18, False),
-        (schedule("00:00-24:00"), float("nan"), False),
+        (make_schedule("08:30-17:30"), unix_time("2026-12-01T08:30"), True),
+        (make_schedule("08:30-17:30"), unix_time("2026-12-01T17:30"), False),
+        (make_schedule("00:00-24:00"), unix_time("2026-12-01T23:59:59.999"), True),
+        (make_schedule("08:00-09:00", zone="Asia/Kuala_Lumpur"), unix_time("2026-12-01T00:30"), True),
+        (make_schedule("08:00-09:00", days="sat-mon"), unix_time("2026-12-01T08:30"), False),  # a Tuesday
+        (make_schedule("08:00-09:00", days="sat-mon"), unix_time("2026-11-30T08:30"), True),
+        (FRIDAY_NIGHT, unix_time("2026-01-23T23:00"), True),
+        (FRIDAY_NIGHT, unix_time("2026-01-24T01:59"), True),  # Saturday, within Friday's hours
+        (FRIDAY_NIGHT, unix_time("2026-01-24T02:00"), False),
+        (FRIDAY_NIGHT, unix_time("2026-01-24T22:30"), False),
+        (FRIDAY_NIGHT, unix_time("2026-01-31T01:00"), False),
+        (make_schedule(d20260201="10:00-11:00"), unix_time("2026-02-01T10:30"), True),
+        (CLOCKS_FORWARD, unix_time("2026-03-29T01:45", "Europe/Berlin"), True),
+        (CLOCKS_FORWARD, unix_time("2026-03-29T03:00", "Europe/Berlin"), False),  # 02:00 to 02:30 is skipped
+        (CLOCKS_BACK, unix_time("2026-10-25T02:30", "Europe/Berlin", fold=0), True),
+        (CLOCKS_BACK, unix_time("2026-10-25T02:30", "Europe/Berlin", fold=1), True),  # this time occurs twice
+        (make_schedule("00:00-24:00"), -1.0, False),
+        (make_schedule("00:00-24:00"), 1e18, False),
+        (make_schedule("00:00-24:00"), float("nan"), False),
     ],
 )
-def test_hours_are_those_of_the_wall_clock(plan: Schedule, instant: float, is_open: bool) -> None:
-    assert plan.open_at(instant) is is_open
+def test_schedule_follows_the_local_wall_clock(schedule: Schedule, instant: float, is_open: bool) -> None:
+    assert schedule.is_open_at(instant) is is_open
 
 
-def test_the_next_change_is_found_over_midnight() -> None:
-    assert NIGHT.next_change(at("2026-01-23T23:10:30")) == at("2026-01-24T02:00")
-    assert schedule("00:00-24:00").next_change(at("2026-01-23T23:10")) is None
+def test_next_change_is_found_past_midnight() -> None:
+    assert FRIDAY_NIGHT.next_change(unix_time("2026-01-23T23:10:30")) == unix_time("2026-01-24T02:00")
+    assert make_schedule("00:00-24:00").next_change(unix_time("2026-01-23T23:10")) is None
 
 
-# Tables and their analysis.
+# Tables and their analysis
 
 SOURCE = """
 numbering version="7" {
@@ -163,70 +168,77 @@
     prefix "900" bar="premium rate"
 }
 """
-NOON, EVENING = at("2026-12-01T12:00", "Asia/Kuala_Lumpur"), at("2026-12-01T18:00", "Asia/Kuala_Lumpur")
+NOON, EVENING = (
+    unix_time("2026-12-01T12:00", "Asia/Kuala_Lumpur"),
+    unix_time("2026-12-01T18:00", "Asia/Kuala_Lumpur"),
+)
 
 
-def no_list(name: str) -> bytes:
+def refuse_to_read_list(name: str) -> bytes:
     raise AssertionError(name)
 
 
 @pytest.fixture(scope="module")
-def numbers() -> Table:
-    return read_table(SOURCE, no_list)
+def number_table() -> Table:
+    return read_table(SOURCE, refuse_to_read_list)
 
 
 @pytest.mark.parametrize(
     ("dialled", "instant", "verdict", "servers", "step"),
     [
-        ("03 888 1234", NOON, Verdict.ROUTED, {0, 1, 2}, "6038881234 matches 603"),
-        ("03 888", NOON, Verdict.ROUTED, {1}, "60388 8 matches 60"),  # too short for the longer prefix
-        ("0060198881234", NOON, Verdict.LOOK_UP, set(), "portability is asked"),
-        ("1300", NOON, Verdict.ROUTED, {0, 1, 2}, "office is open"),
+        ("03 888 1234", NOON, Verdict.ROUTED, {0, 1, 2}, "6038881234 matches prefix 603"),
+        ("03 888", NOON, Verdict.ROUTED, {1}, "60388 8 matches prefix 60"),  # too short for the longer prefix
+        ("0060198881234", NOON, Verdict.LOOK_UP, set(), "after a portability look-up"),
+        ("1300", NOON, Verdict.ROUTED, {0, 1, 2}, "schedule office is open"),
         ("1300", EVENING, Verdict.BARRED, set(), "barred: closed"),
         ("+4425012", NOON, Verdict.ROUTED, {0, 1, 2}, "translated to 60388825012"),
-        ("+44300123", NOON, Verdict.UNKNOWN, set(), "no prefix of 44300123"),
-        ("c0ffee00e0b4d655", NOON, Verdict.ROUTED, {1}, "matches c0ffee"),
-        ("7f3a9c21e0b4d655", NOON, Verdict.UNKNOWN, set(), "no prefix"),
-        ("9001234", NOON, Verdict.BARRED, set(), "premium"),
+        ("+44300123", NOON, Verdict.UNKNOWN, set(), "no prefix matches 44300123"),
+        ("c0ffee00e0b4d655", NOON, Verdict.ROUTED, {1}, "matches prefix c0ffee"),
+        ("7f3a9c21e0b4d655", NOON, Verdict.UNKNOWN, set(), "no prefix matches 7f3a9c21e0b4d655"),
+        ("9001234", NOON, Verdict.BARRED, set(), "barred: premium rate"),
         ("", NOON, Verdict.BAD, set(), ""),
         ("1" * 40, NOON, Verdict.BAD, set(), ""),
         ("\u0661", NOON, Verdict.BAD, set(), ""),
     ],
 )
-def test_a_number_has_a_verdict_that_says_why(
-    numbers: Table, dialled: str, instant: float, verdict: Verdict, servers: set[int], step: str
+def test_analysis_gives_verdict_candidates_and_reason(
+    number_table: Table, dialled: str, instant: float, verdict: Verdict, servers: set[int], step: str
 ) -> None:
-    found = analyse(numbers, dialled, instant)
-    assert (found.verdict, set(found.candidates(0.5)), found.version) == (verdict, servers, "7")
-    assert step.replace(" ", "") in " ".join(found.steps).replace(" ", "")
-    assert found.reason or verdict in (Verdict.ROUTED, Verdict.LOOK_UP)
+    result = analyse(number_table, dialled, instant)
+    assert (result.verdict, set(result.candidates(0.5)), result.version) == (verdict, servers, "7")
+    assert step.replace(" ", "") in " ".join(result.steps).replace(" ", "")
+    assert result.reason or verdict in (Verdict.ROUTED, Verdict.LOOK_UP)
 
 
 @pytest.mark.parametrize(
-    ("dialled", "found", "verdict", "servers"),
+    ("dialled", "answer", "verdict", "servers"),
     [
-        ("0198881234", Ported(), Verdict.ROUTED, (1,)),
-        ("0198881234", Ported("60388812345"), Verdict.ROUTED, (0, 1, 2)),
-        ("0198881234", Ported("60198"), Verdict.ROUTED, (1,)),  # not asked a second time
-        ("0198881234", Ported("55"), Verdict.UNKNOWN, ()),
-        ("0198881234", Ported("no number"), Verdict.ROUTED, (1,)),
+        ("0198881234", PortingResult(), Verdict.ROUTED, (1,)),
+        ("0198881234", PortingResult("60388812345"), Verdict.ROUTED, (0, 1, 2)),
+        ("0198881234", PortingResult("60198"), Verdict.ROUTED, (1,)),  # not asked a second time
+        ("0198881234", PortingResult("55"), Verdict.UNKNOWN, ()),
+        ("0198881234", PortingResult("no number"), Verdict.ROUTED, (1,)),
         ("0198881234", None, Verdict.ROUTED, (1,)),
         ("0188881234", None, Verdict.UNKNOWN, ()),
-        ("0188881234", Ported("x" * 99), Verdict.UNKNOWN, ()),
+        ("0188881234", PortingResult("x" * 99), Verdict.UNKNOWN, ()),
     ],
 )
-def test_a_look_up_is_followed_or_falls_back_as_the_route_says(
-    numbers: Table, dialled: str, found: Ported | None, verdict: Verdict, servers: tuple[int, ...]
+def test_portability_answer_is_followed_or_the_fallback_of_the_route_applies(
+    number_table: Table,
+    dialled: str,
+    answer: PortingResult | None,
+    verdict: Verdict,
+    servers: tuple[int, ...],
 ) -> None:
-    asked = analyse(numbers, dialled, NOON)
-    result = resolve(numbers, asked, found)
-    assert (asked.verdict, result.verdict) == (Verdict.LOOK_UP, verdict)
+    pending = analyse(number_table, dialled, NOON)
+    result = resolve(number_table, pending, answer)
+    assert (pending.verdict, result.verdict) == (Verdict.LOOK_UP, verdict)
     assert result.candidates(0.0) == servers
 
 
-def test_first_choices_come_by_weight_and_each_server_comes_once() -> None:
+def test_route_orders_servers_by_weight_and_lists_each_once() -> None:
     route = Route("r", ((Member(0, 3), Member(1, 1)), (Member(2), Member(3))))
-    orders = [route.order(draw / 1000) for draw in range(1000)]
+    orders = [route.order_servers(draw / 1000) for draw in range(1000)]
     assert {frozenset(order) for order in orders} == {frozenset(range(4))}
     assert all(set(order[:2]) == {0, 1} for order in orders)
     assert Counter(order[0] for order in orders) == {0: 750, 1: 250}
@@ -234,96 +246,98 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "line", "reason"),
+    ("node", "line", "reason"),
     [
-        ('prefix "5" route="nowhere"', 4, "no route 'nowhere'"),
-        ('prefix "5" bar="x" colour="red"', 4, "knows no colour"),
-        ('prefix "5" bar="x"; prefix "5" bar="y"', 4, "prefix 5 twice"),
+        ('prefix "5" route="nowhere"', 4, "no route is named 'nowhere'"),
+        ('prefix "5" bar="x" colour="red"', 4, "unknown properties: colour"),
+        ('prefix "5" bar="x"; prefix "5" bar="y"', 4, "prefix 5 is given twice"),
         ('prefix "12345678901234567" bar="x"', 4, "not digits"),
-        ('prefix "5" { when "never" bar="x"; otherwise bar="y"; }', 4, "no schedule 'never'"),
-        ('prefix "5" { when "s" bar="x"; }', 4, "no case for the rest of the time"),
-        ('prefix "5" bar="x" route="r"', 4, "one of route, bar"),
+        ('prefix "5" { when "never" bar="x"; otherwise bar="y"; }', 4, "no schedule is named 'never'"),
+        ('prefix "5" { when "s" bar="x"; }', 4, "no case for the time outside schedules"),
+        ('prefix "5" bar="x" route="r"', 4, "exactly one of route, bar"),
         ('prefix "5" strip=0', 4, "changes nothing"),
-        ('prefix "5" route="r" portability="dialled"', 4, "no portability server"),
+        ('prefix "5" route="r" portability="dialled"', 4, "no portability server is set"),
         ('prefix "5" strip=1 prepend="6"\nprefix "6" strip=1 prepend="5"', 4, "5 -> 6 -> 5"),
-        ('prefix "" strip=0 prepend="9"', 4, "lead back"),
+        ('prefix "" strip=0 prepend="9"', 4, "lead back to themselves"),
         ('range "10" "9" bar="x"', 4, "no range"),
         ('route "q" { }', 0, "a tier without a server"),
-        ('route "q" { server 1; server 1; }', 0, "one server twice"),
+        ('route "q" { server 1; server 1; }', 0, "a server is given twice"),
         ('route "q" { server 1.5; }', 4, "whole number"),
-        ('schedule "t" zone="Nowhere/Land"', 4, "no time zone"),
-        ('schedule "t" { open "mon" "9:00-10:00"; }', 4, "hours like"),
+        ('schedule "t" zone="Nowhere/Land"', 4, "no time zone is named"),
+        ('schedule "t" { open "mon" "9:00-10:00"; }', 4, "expected hours like"),
         ('schedule "t" { on "2026-02-30"; }', 4, "day is out of range"),
         ('plan national="0"', 4, "need a country"),
-        ('portability "nowhere"', 4, "an address like"),
-        ("frobnicate", 4, "has no place"),
+        ('portability "nowhere"', 4, "expected an address like"),
+        ("frobnicate", 4, "unknown node 'frobnicate'"),
         ("plan { a; }", 4, "takes no block"),
-        ('prefix "5" bar="x" least=1e999', 0, "not KDL"),
+        ('prefix "5" bar="x" least=1e999', 0, "not valid KDL"),
         ('prefix "5" bar="x', 5, ""),
         ('prefix "5" bar="x" {', 1, "child"),
-        ('prefixes "list.csv" count=4', 4, "3 prefixes, 4 are announced"),
-        ('prefixes "wrong.csv" count=2', 0, "wrong.csv line 2: no route 'q'"),
+        ('prefixes "list.csv" count=4', 4, "3 prefixes, but count=4 in the settings"),
+        ('prefixes "wrong.csv" count=2', 0, "wrong.csv line 2: no route is named 'q'"),
         ('prefixes "broken.csv" count=1', 0, "broken.csv line 1"),
     ],
 )
-def test_what_is_wrong_with_a_table_is_told_with_its_line(change: str, line: int, reason: str) -> None:
+def test_table_errors_are_reported_with_their_lines(node: str, line: int, reason: str) -> None:
     lists = {"list.csv": b"1,r\n2,r\n#\n3,r", "wrong.csv": b"1,r\n2,q\n", "broken.csv": b"\xff,r\n"}
-    base = 'numbering {\n route "r" { server 0; }\n schedule "s"\n CHANGE\n prefix "8" bar="z"\n}'
-    with pytest.raises(BadTable) as caught:
-        read_table(base.replace("CHANGE", change), lists.__getitem__, "f.kdl")
+    settings = 'numbering {\n route "r" { server 0; }\n schedule "s"\n NODE\n prefix "8" bar="z"\n}'
+    with pytest.raises(InvalidTable) as caught:
+        read_table(settings.replace("NODE", node), lists.__getitem__, "f.kdl")
     assert reason in str(caught.value)
     assert "f.kdl" in str(caught.value)
-    assert {trouble.line for trouble in caught.value.troubles} & {line, line + 1}
+    assert {diagnostic.line for diagnostic in caught.value.diagnostics} & {line, line + 1}
 
 
 @pytest.mark.parametrize(
     "text", ["", "numbering", "numbering {\n}", "other { }", 'numbering { } \n "x"', "{" * 9000]
 )
-def test_an_empty_or_strange_file_is_no_table(text: str) -> None:
-    with pytest.raises(BadTable):
-        read_table(text, no_list)
+def test_empty_or_malformed_settings_are_refused(text: str) -> None:
+    with pytest.raises(InvalidTable):
+        read_table(text, refuse_to_read_list)
 
 
 @given(st.integers(0, len(SOURCE) - 1))
-def test_a_file_that_is_copied_half_is_no_table(end: int) -> None:
+def test_truncated_settings_are_refused(end: int) -> None:
     if SOURCE[end:].strip():
-        with pytest.raises(BadTable):
-            read_table(SOURCE[:end], no_list)
+        with pytest.raises(InvalidTable):
+            read_table(SOURCE[:end], refuse_to_read_list)
 
 
 @given(st.data())
-def test_translations_without_a_loop_that_is_found_come_to_an_end(data: st.DataObject) -> None:
+def test_accepted_translations_terminate(data: st.DataObject) -> None:
     count = data.draw(st.integers(1, 6))
-    heads = data.draw(st.lists(st.text("012", max_size=3), min_size=count, max_size=count, unique=True))
+    prefixes = data.draw(st.lists(st.text("012", max_size=3), min_size=count, max_size=count, unique=True))
     rules = [
-        table.Prefix(head, table.Rule((table.Case(table.Translate(strip, prepend)),)), 1)
+        table.PrefixEntry(prefix, table.Rule((table.Case(table.Translate(strip, prepend)),)), 1)
         if strip or prepend
-        else table.Prefix(head, table.Rule((table.Case(table.Bar("end")),)), 1)
-        for head, strip, prepend in (
-            (head, data.draw(st.integers(0, 2)), data.draw(st.text("012", max_size=3))) for head in heads
+        else table.PrefixEntry(prefix, table.Rule((table.Case(table.Bar("end")),)), 1)
+        for prefix, strip, prepend in (
+            (prefix, data.draw(st.integers(0, 2)), data.draw(st.text("012", max_size=3)))
+            for prefix in prefixes
         )
     ]
-    with contextlib.suppress(BadTable):
-        made = table.build("", Plan(), {}, {}, rules)
+    with contextlib.suppress(InvalidTable):
+        built = table.build("", DialPlan(), {}, {}, rules)
         for number in (data.draw(st.text("012", min_size=1, max_size=9)) for _ in range(5)):
-            found: Analysis = analyse(made, number, 0.0)
+            found: Analysis = analyse(built, number, 0.0)
             assert "more than" not in found.reason
 
 
-def test_loops_are_looked_for_in_large_tables_too_in_a_moment() -> None:
+def test_loop_detection_is_fast_for_large_tables() -> None:
     rules = [
-        table.Prefix(f"{number:05d}", table.Rule((table.Case(table.Translate(5, "9")),)), 1)
+        table.PrefixEntry(f"{number:05d}", table.Rule((table.Case(table.Translate(5, "9")),)), 1)
         for number in range(20_000)
     ]
-    rules.append(table.Prefix("9", table.Rule((table.Case(table.Translate(1, "")),)), 1))
-    began = time.process_time()
-    with pytest.raises(BadTable, match="lead back"):
-        table.build("", Plan(), {}, {}, rules)
-    assert time.process_time() - began < 20
+    rules.append(table.PrefixEntry("9", table.Rule((table.Case(table.Translate(1, "")),)), 1))
+    start = time.process_time()
+    with pytest.raises(InvalidTable, match="lead back to themselves"):
+        table.build("", DialPlan(), {}, {}, rules)
+    assert time.process_time() - start < 20
 
 
-def test_now_is_never_read(numbers: Table, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_analysis_never_reads_the_clock(number_table: Table, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(time, "time", lambda: 1 / 0)
     assert (
-        analyse(numbers, "1300", datetime(2026, 12, 1, 4, tzinfo=UTC).timestamp()).verdict is Verdict.ROUTED
+        analyse(number_table, "1300", datetime(2026, 12, 1, 4, tzinfo=UTC).timestamp()).verdict
+        is Verdict.ROUTED
     )
--- a/tests/test_portability.py
+++ b/tests/test_portability.py
@@ -10,14 +10,14 @@
 from hypothesis import strategies as st
 
 from wickstep.numbering import enum_dns
-from wickstep.numbering.analysis import Ported
+from wickstep.numbering.analysis import PortingResult
 from wickstep.numbering.portability import Ask, LookUps, Told
-from wickstep.numbering.table import PortabilityPlan
+from wickstep.numbering.table import PortabilitySettings
 
 from .enum_stand_in import EnumServer, record
 
 MS = 1000
-PLAN = PortabilityPlan(
+PLAN = PortabilitySettings(
     "127.0.0.1:53", budget_ms=400, budget_part=0.25, outstanding=3, trips_after=3, rest_ms=1000
 )
 FAR = 10_000 * MS
@@ -31,13 +31,16 @@
     ups = LookUps(PLAN)
     (at,) = asks(ups.look_up(1, "60123", 0, FAR))
     assert ups.look_up(2, "60123", 0, FAR) == []
-    assert ups.answered(at, Ported("6017"), 10) == [Told(1, Ported("6017")), Told(2, Ported("6017"))]
+    assert ups.answered(at, PortingResult("6017"), 10) == [
+        Told(1, PortingResult("6017")),
+        Told(2, PortingResult("6017")),
+    ]
     until = 10 + PLAN.keep_ms * MS
-    assert ups.look_up(3, "60123", until - 1, until + FAR) == [Told(3, Ported("6017"))]
+    assert ups.look_up(3, "60123", until - 1, until + FAR) == [Told(3, PortingResult("6017"))]
     (again,) = asks(ups.look_up(4, "60123", until, until + FAR))
-    ups.answered(again, Ported(), until)
+    ups.answered(again, PortingResult(), until)
     negative = until + PLAN.keep_negative_ms * MS
-    assert ups.look_up(5, "60123", negative - 1, negative + FAR) == [Told(5, Ported())]
+    assert ups.look_up(5, "60123", negative - 1, negative + FAR) == [Told(5, PortingResult())]
     assert asks(ups.look_up(6, "60123", negative, negative + FAR))
 
 
@@ -52,7 +55,7 @@
     assert ups.due(waits - 1) == []
     assert ups.due(waits) == [Told(1, None)]
     assert ups.due(FAR) == []
-    assert ups.answered(at, Ported("6"), FAR) == []  # late: dropped, and not even remembered
+    assert ups.answered(at, PortingResult("6"), FAR) == []  # late: dropped, and not even remembered
     assert not ups.cache
 
 
@@ -60,8 +63,8 @@
     ups = LookUps(PLAN)
     (at,) = asks(ups.look_up(1, "60123", 0, 800 * MS))
     assert ups.due(200 * MS) == [Told(1, None)]
-    assert ups.answered(at, Ported("6"), 300 * MS) == []
-    assert ups.look_up(2, "60123", 301 * MS, FAR) == [Told(2, Ported("6"))]
+    assert ups.answered(at, PortingResult("6"), 300 * MS) == []
+    assert ups.look_up(2, "60123", 301 * MS, FAR) == [Told(2, PortingResult("6"))]
 
 
 def test_a_caller_that_gives_up_is_told_nothing() -> None:
@@ -70,7 +73,7 @@
     ups.look_up(2, "60123", 0, FAR)
     ups.gave_up(1)
     ups.gave_up(1)
-    assert ups.answered(at, Ported(), 1) == [Told(2, Ported())]
+    assert ups.answered(at, PortingResult(), 1) == [Told(2, PortingResult())]
     ups.gave_up(2)
 
 
@@ -78,7 +81,7 @@
     ups = LookUps(PLAN)
     assert all(asks(ups.look_up(n, f"60{n}", 0, FAR)) for n in range(3))
     assert ups.look_up(9, "609", 0, FAR) == [Told(9, None)]
-    ups.answered(1, Ported(), 1)
+    ups.answered(1, PortingResult(), 1)
     assert asks(ups.look_up(9, "609", 2, FAR))
 
 
@@ -94,11 +97,11 @@
         (trial,) = asks(ups.look_up(51, "6051", now, now + FAR))
         assert ups.look_up(52, "6052", now, now + FAR) == [Told(52, None)]  # one trial at a time
         ups.due(now + PLAN.budget_ms * MS)
-        assert ups.answered(trial, Ported(), now + PLAN.budget_ms * MS) == []
+        assert ups.answered(trial, PortingResult(), now + PLAN.budget_ms * MS) == []
         now += PLAN.budget_ms * MS
     now += 8000 * MS
     (trial,) = asks(ups.look_up(60, "6060", now, now + FAR))
-    ups.answered(trial, Ported(), now)
+    ups.answered(trial, PortingResult(), now)
     assert asks(ups.look_up(61, "6061", now, now + FAR))
     assert asks(ups.look_up(62, "6062", now, now + FAR))
 
@@ -106,7 +109,7 @@
 @given(st.data())
 def test_every_call_is_told_once_in_time_or_has_given_up(data: st.DataObject) -> None:
     """Whatever comes in whatever order: one answer a call, within its wait, and nothing is left behind."""
-    plan = PortabilityPlan(
+    plan = PortabilitySettings(
         "", budget_ms=50, budget_part=0.5, outstanding=2, cached=2, trips_after=2, rest_ms=30
     )
     ups = LookUps(plan)
@@ -133,7 +136,7 @@
                 due[calls] = now + min(50 * MS, patience // 2)
                 take(ups.look_up(calls, data.draw(st.sampled_from("1234")), now, now + patience))
             case "answer" if out:
-                take(ups.answered(data.draw(st.sampled_from(out)), Ported("9"), now))
+                take(ups.answered(data.draw(st.sampled_from(out)), PortingResult("9"), now))
             case "fail" if out:
                 take(ups.failed(data.draw(st.sampled_from(out)), now))
             case "leave" if calls:
@@ -180,7 +183,7 @@
         with pytest.raises(enum_dns.Spoilt):
             enum_dns.read_uri(uri)
     else:
-        assert enum_dns.read_uri(uri) == Ported(found)
+        assert enum_dns.read_uri(uri) == PortingResult(found)
 
 
 @given(st.binary(max_size=200))
@@ -214,17 +217,17 @@
 @pytest.mark.parametrize(
     ("records", "found"),
     [
-        (None, Ported()),
-        ([], Ported()),
-        ([record("tel:+60123;npdi")], Ported()),
-        (PORTED, Ported("6018")),  # the lowest order, though listed last
-        ([record("sip:a@b", service="E2U+sip")], Ported()),
+        (None, PortingResult()),
+        ([], PortingResult()),
+        ([record("tel:+60123;npdi")], PortingResult()),
+        (PORTED, PortingResult("6018")),  # the lowest order, though listed last
+        ([record("sip:a@b", service="E2U+sip")], PortingResult()),
         ([record("sip:a@b")], None),
         ([record("tel:+1", pattern="^(a+)+$")], None),  # is not run
     ],
 )
 def test_answers_are_read_as_the_records_say(
-    server: EnumServer, records: list[str] | None, found: Ported | None
+    server: EnumServer, records: list[str] | None, found: PortingResult | None
 ) -> None:
     if records is not None:
         server.records["60123"] = records
@@ -245,7 +248,7 @@
     assert heard.get(timeout=10) == enum_dns.Failed(1)
     server.manner = "well"
     asker.ask(Ask(2, "60123", NEVER))
-    assert heard.get(timeout=10) == enum_dns.Answered(2, Ported())
+    assert heard.get(timeout=10) == enum_dns.Answered(2, PortingResult())
     asker.stop()
 
 
@@ -259,8 +262,8 @@
         pass
     server.let_go()
     assert [heard.get(timeout=10) for _ in range(2)] == [
-        enum_dns.Answered(2, Ported()),
-        enum_dns.Answered(1, Ported("6099")),
+        enum_dns.Answered(2, PortingResult()),
+        enum_dns.Answered(1, PortingResult("6099")),
     ]
     asker.ask(Ask(3, "603", NEVER))
     asker.ask(Ask(4, "604", NEVER))
@@ -272,7 +275,7 @@
     assert heard.get(timeout=10) == enum_dns.Failed(5)  # nobody listens
     server.restart()
     asker.ask(Ask(6, "606", NEVER))
-    assert heard.get(timeout=10) == enum_dns.Answered(6, Ported())
+    assert heard.get(timeout=10) == enum_dns.Answered(6, PortingResult())
     asker.ask(Ask(7, "607", 0))
     assert heard.get(timeout=10) == enum_dns.Failed(7)  # its time is up before it is put
     asker.stop()
--- a/wickstep/__main__.py
+++ b/wickstep/__main__.py
@@ -189,12 +189,12 @@
 
 def read_table(path: Path) -> Table:
     from wickstep.numbering import stage
-    from wickstep.numbering.table import BadTable
+    from wickstep.numbering.table import InvalidTable
 
     try:
         return stage.load(path)
-    except BadTable as trouble:
-        told = "\n".join(map(str, trouble.troubles))
+    except InvalidTable as trouble:
+        told = "\n".join(map(str, trouble.diagnostics))
         raise click.ClickException(f"{path} is no table\n{told}") from trouble
 
 
@@ -380,7 +380,7 @@
     for step in found.steps:
         click.echo(f"  {step}")
     for schedule in table.schedules.values():
-        state = "open" if schedule.open_at(moment.timestamp()) else "closed"
+        state = "open" if schedule.is_open_at(moment.timestamp()) else "closed"
         change = schedule.next_change(moment.timestamp())
         until = f" until {datetime.fromtimestamp(change, schedule.zone):%Y-%m-%d %H:%M %Z}" if change else ""
         click.echo(f"  schedule {schedule.name} is {state}{until}")
--- a/wickstep/numbering/__init__.py
+++ b/wickstep/numbering/__init__.py
@@ -1,6 +1,6 @@
-"""Number analysis: from the number called to the servers that may take the call, in order.
+"""Number analysis: from the number called to the servers that may take the call, in order of preference.
 
-Nothing in this package chooses a server, tries again or refuses: it proposes candidates, and the controller
-decides.
-`digits`, `index`, `schedule`, `table` and `analysis` are pure: no socket, no file, no clock of their own.
+Nothing in this package chooses a server, retries or refuses a call: it proposes candidates, and the
+controller decides.
+`digits`, `index`, `schedule`, `table` and `analysis` are pure: they use no socket, no file and no clock.
 """
--- a/wickstep/numbering/digits.py
+++ b/wickstep/numbering/digits.py
@@ -1,11 +1,11 @@
-"""Digits: what a dialled number is made of, and its normal form.
+"""Digit strings: validation, the 64-bit encoding of a number, and normalisation of what was dialled.
 
-This file owns how numbers are written: the codes the index sorts by, and the forms in which one and the same
-number is dialled. It must never look a number up, and never raise anything but `BadNumber` for what a caller
-has dialled.
+This file owns how numbers are written: the encoding by which the prefix index sorts, and the forms in which
+one and the same number may be dialled. It must never look a number up, and never raise anything but
+`InvalidNumber` for what a caller has dialled.
 
-A normal number is in E.164 form (country code first, no sign) or, where the plan does not know its form, as
-it was dialled: short codes and the private numbers of 16 hexadecimal digits stay as they are.
+The normal form of a number is E.164 (country code first, no plus sign). Numbers whose form the dial plan does
+not know stay as dialled: short codes, and the private numbers of 16 hexadecimal digits.
 """
 
 from __future__ import annotations
@@ -13,72 +13,71 @@
 import re
 from dataclasses import dataclass
 
-MOST = 16  # digits; E.164 allows 15, private numbers of the platform have 16
+MAX_DIGITS = 16  # E.164 allows 15, private numbers of the platform have 16
 ALPHABET = "0123456789abcdef"
-VISUAL = str.maketrans("", "", " -.()")  # RFC 3966's visual separators, and the blank that people write
-WRITTEN_MOST = 64  # characters before the separators are taken out
-_WHOLE = re.compile(f"[{ALPHABET}]{{1,{MOST}}}").fullmatch
+VISUAL_SEPARATORS = str.maketrans("", "", " -.()")  # those of RFC 3966, and the space that people write
+MAX_DIALLED_CHARACTERS = 64  # before the separators are removed
+_match_digits = re.compile(f"[{ALPHABET}]{{1,{MAX_DIGITS}}}").fullmatch
 
 
-class BadNumber(ValueError):
-    """What was dialled is no number."""
+class InvalidNumber(ValueError):
+    """The dialled text is not a valid number."""
 
 
-def code(digits: str) -> int:
-    """The digits as a number of 64 bits, the first digit highest: so numbers sort as their digits do."""
-    return int(digits, 16) << 4 * (MOST - len(digits)) if digits else 0
+def encode(digits: str) -> int:
+    """The digits as a 64-bit code, left-aligned: codes sort as the digit strings do."""
+    return int(digits, 16) << 4 * (MAX_DIGITS - len(digits)) if digits else 0
 
 
-def digits_of(value: int, length: int) -> str:
-    """The way back."""
-    return f"{value:016x}"[:length]
+def decode(code: int, length: int) -> str:
+    """The first `length` digits of a code; the inverse of `encode`."""
+    return f"{code:016x}"[:length]
 
 
 def check(digits: str) -> str:
-    """The same digits; raises BadNumber for none, too many, or what is none of them."""
-    if _WHOLE(digits):
+    """Return the digits unchanged; raises InvalidNumber if there are none, too many, or other characters."""
+    if _match_digits(digits):
         return digits
     if not digits:
-        raise BadNumber("empty")
-    if len(digits) > MOST:
-        raise BadNumber(f"{len(digits)} digits, {MOST} at most")
-    raise BadNumber("not all digits")
+        raise InvalidNumber("no digits")
+    if len(digits) > MAX_DIGITS:
+        raise InvalidNumber(f"{len(digits)} digits, at most {MAX_DIGITS} are allowed")
+    raise InvalidNumber("only the digits 0 to 9 and a to f are allowed")
 
 
 @dataclass(slots=True, frozen=True)
-class Plan:
+class DialPlan:
     """How numbers are dialled here. An empty prefix means that the form does not exist."""
 
-    country: str = ""  # the country code of national numbers
-    international: str = ""  # dialled before a country code: 00
-    national: str = ""  # dialled before a national number: 0, the trunk prefix
-    short_most: int = 0  # so many digits or fewer, in no other form, are a short code of their own
-    area: str = ""  # put before local numbers, those in no other form; empty: they stay as they are
+    country: str = ""  # country code of national numbers
+    international: str = ""  # international prefix, dialled before a country code, such as 00
+    national: str = ""  # trunk prefix, dialled before a national number, such as 0
+    max_short_code_digits: int = 0  # a number of no other form with at most this many digits is a short code
+    area: str = ""  # put before local numbers, those of no other form; if empty they stay as dialled
 
-    def normal(self, dialled: str) -> str:
-        """The normal form of what was dialled.
+    def normalise(self, dialled: str) -> str:
+        """The normal form of a dialled number.
 
-        Tried in this order, the first that fits counts: a plus sign, a private number (16 digits, or any
-        digit that is no decimal one), the international prefix, the national prefix, a short code, a local
-        number.
+        The first form that fits counts, in this order: a plus sign, a private number (16 digits, or any digit
+        that is not decimal), the international prefix, the national prefix, a short code, a local number.
         """
-        if len(dialled) > WRITTEN_MOST:
-            raise BadNumber(f"{len(dialled)} characters, {WRITTEN_MOST} at most")
-        bare = dialled.translate(VISUAL).lower()
-        if bare.startswith("+"):
-            return self._decimal(bare[1:])
-        check(bare)
-        if len(bare) == MOST or not bare.isdecimal():
-            return bare
-        if self.international and bare.startswith(self.international):
-            return self._decimal(bare[len(self.international) :])
-        if self.national and bare.startswith(self.national) and self.country:
-            return check(self.country + self._decimal(bare[len(self.national) :]))
-        if len(bare) <= self.short_most or not self.area:
-            return bare
-        return check(self.country + self.area + bare)
-
-    def _decimal(self, digits: str) -> str:
+        if len(dialled) > MAX_DIALLED_CHARACTERS:
+            raise InvalidNumber(f"{len(dialled)} characters, at most {MAX_DIALLED_CHARACTERS} are allowed")
+        digits = dialled.translate(VISUAL_SEPARATORS).lower()
+        if digits.startswith("+"):
+            return self._check_decimal(digits[1:])
+        check(digits)
+        if len(digits) == MAX_DIGITS or not digits.isdecimal():
+            return digits
+        if self.international and digits.startswith(self.international):
+            return self._check_decimal(digits[len(self.international) :])
+        if self.national and digits.startswith(self.national) and self.country:
+            return check(self.country + self._check_decimal(digits[len(self.national) :]))
+        if len(digits) <= self.max_short_code_digits or not self.area:
+            return digits
+        return check(self.country + self.area + digits)
+
+    def _check_decimal(self, digits: str) -> str:
         if not check(digits).isdecimal():
-            raise BadNumber("letters in a public number")
+            raise InvalidNumber("a public number has decimal digits only")
         return digits
--- a/wickstep/numbering/enum_dns.py
+++ b/wickstep/numbering/enum_dns.py
@@ -31,7 +31,7 @@
 import dns.rdatatype
 
 from wickstep.net import links
-from wickstep.numbering.analysis import Ported
+from wickstep.numbering.analysis import PortingResult
 from wickstep.numbering.portability import Ask
 
 log = logging.getLogger(__name__)
@@ -53,7 +53,7 @@
 @dataclass(slots=True, frozen=True)
 class Answered:
     question: int
-    found: Ported
+    found: PortingResult
 
 
 @dataclass(slots=True, frozen=True)
@@ -72,7 +72,7 @@
     return LENGTH.pack(len(wire)) + wire
 
 
-def read_answer(wire: bytes, number: str, suffix: str) -> Ported:
+def read_answer(wire: bytes, number: str, suffix: str) -> PortingResult:
     """What an answer says of a number; raises Spoilt.
 
     No such name, and a name with no record of the service, mean that the number is not ported. Of several
@@ -88,7 +88,7 @@
     if len(message.question) != 1 or message.question[0].name != wanted:
         raise Spoilt("an answer to another question")
     if message.rcode() == dns.rcode.NXDOMAIN:
-        return Ported()
+        return PortingResult()
     if message.rcode() != dns.rcode.NOERROR:
         raise Spoilt(dns.rcode.to_text(message.rcode()))
     records = [
@@ -99,7 +99,7 @@
         if _text(record.service).lower() == SERVICE and _text(record.flags).lower() == "u"
     ]
     if not records:
-        return Ported()
+        return PortingResult()
     first = min(records, key=lambda record: (record.order, record.preference))
     return read_uri(_replaced(_text(first.regexp), number))
 
@@ -117,7 +117,7 @@
     return parts[2].replace("\\1", f"+{number}") if parts[1] == WHOLE[1] else parts[2]
 
 
-def read_uri(uri: str) -> Ported:
+def read_uri(uri: str) -> PortingResult:
     """From a tel URI: with a routing number the number is ported there, without one it is where it was."""
     match = TEL.fullmatch(uri)
     if match is None:
@@ -132,7 +132,7 @@
             routing = found[1].translate(SEPARATORS).lower()
             if not routing:
                 raise Spoilt(f"no routing number: {parameter!r}")
-    return Ported(routing)
+    return PortingResult(routing)
 
 
 class Client:
--- a/wickstep/numbering/index.py
+++ b/wickstep/numbering/index.py
@@ -1,12 +1,13 @@
-"""The prefix index: longest match over millions of prefixes in packed arrays.
+"""The prefix index: longest-prefix match over millions of prefixes in packed arrays.
 
-This file owns the one structure that must stay small and quick when tables are large. It must never know what
-a match means: a prefix carries a whole number, and what that stands for is the table's business.
+This file owns the one structure that must stay small and fast when tables are large. It must never know what
+a match means: each prefix carries an integer, which the table interprets.
 
-A prefix of n digits covers one run of the 64-bit codes of numbers. Two such runs lie apart or one inside the
-other, so prefixes sorted by (start, length) form nested intervals, and each remembers the one that encloses
-it. A look-up bisects for the last start at or below the number, then climbs until a run holds the number: as
-many steps as prefixes are nested there, 16 at most. A prefix takes seventeen bytes.
+A prefix of n digits covers one contiguous interval of the 64-bit codes of numbers. Two such intervals are
+disjoint or nested, so in the order of (start, length) the prefixes form nested intervals, and each entry
+stores the position of its parent, the entry that encloses it. A look-up bisects for the last start at or
+below the number, then follows parents until an interval contains the number. It takes as many steps as
+prefixes are nested there, 16 at most. An entry takes 17 bytes.
 """
 
 from __future__ import annotations
@@ -18,115 +19,124 @@
 
 from wickstep.numbering import digits
 
-NONE = 0xFFFFFFFF  # no enclosing prefix; so there may be that many less one
-FULL = (1 << 64) - 1
-PIECE = 16_384  # entries sorted at a time: some milliseconds
+NO_ENTRY = 0xFFFFFFFF  # in place of a position; so an index holds fewer entries than this
+MAX_CODE = (1 << 64) - 1
+SORT_CHUNK_ENTRIES = 16_384  # sorted in one go, which takes some milliseconds
 
 
-class Duplicate(ValueError):
-    """One prefix twice: which of the two counts would depend on their order."""
+class DuplicatePrefix(ValueError):
+    """A prefix is given twice: which of the two counts would depend on their order."""
 
     def __init__(self, prefix: str, first: int, second: int) -> None:
-        super().__init__(f"prefix {prefix} twice")
+        super().__init__(f"prefix {prefix} is given twice")
         self.prefix, self.first, self.second = prefix, first, second
 
 
-def _sorted(entries: Iterable[tuple[str, int]]) -> Iterator[int]:
-    """The entries in order, each as one number that sorts by start, then by length, and carries the value.
+def _sort_entries(entries: Iterable[tuple[str, int]]) -> Iterator[int]:
+    """The entries in order, each as one integer that sorts by start, then by length, and carries the value.
 
-    Sorted in pieces and merged: the sort of a million holds the interpreter's lock for most of a second, in
-    which a softswitch that loads a table answers nobody.
+    They are sorted in chunks and merged: sorting a million at once holds the interpreter's lock for most of a
+    second, during which a softswitch that loads a table answers nobody.
     """
-    pieces: list[list[int]] = [[]]
+    chunks: list[list[int]] = [[]]
     for prefix, value in entries:
-        if len(pieces[-1]) >= PIECE:
-            pieces[-1].sort()
-            pieces.append([])
-        pieces[-1].append((digits.code(prefix) << 5 | len(prefix)) << 32 | value)
-    pieces[-1].sort()
-    return iter(pieces[0]) if len(pieces) == 1 else merge(*pieces)
+        if len(chunks[-1]) >= SORT_CHUNK_ENTRIES:
+            chunks[-1].sort()
+            chunks.append([])
+        chunks[-1].append((digits.encode(prefix) << 5 | len(prefix)) << 32 | value)
+    chunks[-1].sort()
+    return iter(chunks[0]) if len(chunks) == 1 else merge(*chunks)
 
 
-def span(length: int) -> int:
-    """How many codes a prefix of so many digits covers, less one."""
-    return FULL >> 4 * length
+def max_offset(length: int) -> int:
+    """The distance from the first to the last code that a prefix of this many digits covers."""
+    return MAX_CODE >> 4 * length
 
 
 class PrefixIndex:
-    """Immutable once made. The empty prefix matches every number."""
+    """An immutable index of prefixes. The empty prefix matches every number."""
 
     __slots__ = ("_lengths", "_parents", "_starts", "_values")
 
     def __init__(self, entries: Iterable[tuple[str, int]]) -> None:
-        """From (prefix, value) in any order; values below 2 to the 32nd. Raises Duplicate."""
+        """From (prefix, value) pairs in any order, with values below 2**32. Raises DuplicatePrefix."""
         self._starts, self._lengths = array("Q"), array("B")
         self._values, self._parents = array("I"), array("I")
-        nest: list[int] = []  # places of the prefixes that enclose the present one
-        for place, item in enumerate(_sorted(entries)):
+        enclosing: list[
+            int
+        ] = []  # positions of the entries that enclose the present one, the outermost first
+        for pos, item in enumerate(_sort_entries(entries)):
             start, length, value = item >> 37, item >> 32 & 31, item & 0xFFFFFFFF
-            while nest and self._starts[nest[-1]] + span(self._lengths[nest[-1]]) < start:
-                nest.pop()
-            if nest and (self._starts[nest[-1]], self._lengths[nest[-1]]) == (start, length):
-                raise Duplicate(digits.digits_of(start, length), self._values[nest[-1]], value)
+            while (
+                enclosing and self._starts[enclosing[-1]] + max_offset(self._lengths[enclosing[-1]]) < start
+            ):
+                enclosing.pop()
+            if enclosing and (self._starts[enclosing[-1]], self._lengths[enclosing[-1]]) == (start, length):
+                raise DuplicatePrefix(digits.decode(start, length), self._values[enclosing[-1]], value)
             self._starts.append(start)
             self._lengths.append(length)
             self._values.append(value)
-            self._parents.append(nest[-1] if nest else NONE)
-            nest.append(place)
+            self._parents.append(enclosing[-1] if enclosing else NO_ENTRY)
+            enclosing.append(pos)
 
     def __len__(self) -> int:
         return len(self._starts)
 
-    def longest(self, number: str) -> tuple[str, int] | None:
+    def longest_match(self, number: str) -> tuple[str, int] | None:
         """The longest prefix of a number, and its value."""
-        place = self._place(number)
-        return None if place == NONE else self._entry(place)
-
-    def all(self, number: str) -> Iterator[tuple[str, int]]:
-        """Every prefix of a number, the longest first."""
-        place = self._place(number)
-        while place != NONE:
-            yield self._entry(place)
-            place = self._parents[place]
-
-    def _entry(self, place: int) -> tuple[str, int]:
-        return digits.digits_of(self._starts[place], self._lengths[place]), self._values[place]
-
-    def _place(self, number: str) -> int:
-        value = digits.code(number)
-        place = bisect_right(self._starts, value) - 1
-        if place < 0:
-            return NONE
-        # A number may be shorter than a prefix whose further digits are zeros: "6" is no match for "60".
-        while self._starts[place] + span(self._lengths[place]) < value or self._lengths[place] > len(number):
-            place = self._parents[place]
-            if place == NONE:
-                return NONE
-        return place
-
-    def memory(self) -> int:
-        """Bytes of its arrays."""
+        pos = self._find(number)
+        return None if pos == NO_ENTRY else self._entry(pos)
+
+    def matches(self, number: str) -> Iterator[tuple[str, int]]:
+        """Every prefix of a number with its value, the longest first."""
+        pos = self._find(number)
+        while pos != NO_ENTRY:
+            yield self._entry(pos)
+            pos = self._parents[pos]
+
+    def _entry(self, pos: int) -> tuple[str, int]:
+        return digits.decode(self._starts[pos], self._lengths[pos]), self._values[pos]
+
+    def _find(self, number: str) -> int:
+        code = digits.encode(number)
+        pos = bisect_right(self._starts, code) - 1
+        if pos < 0:
+            return NO_ENTRY
+        # Lengths are compared too: "60" is no prefix of "6", though its interval contains the code of "6".
+        while self._starts[pos] + max_offset(self._lengths[pos]) < code or self._lengths[pos] > len(number):
+            pos = self._parents[pos]
+            if pos == NO_ENTRY:
+                return NO_ENTRY
+        return pos
+
+    def memory_bytes(self) -> int:
+        """The size of the arrays."""
         arrays = (self._starts, self._lengths, self._values, self._parents)
-        return sum(item.itemsize * len(item) for item in arrays)
+        return sum(column.itemsize * len(column) for column in arrays)
 
 
-def cover(first: str, last: str) -> list[str]:
-    """The fewest prefixes that cover a range of numbers of one length, both ends included.
+def range_to_prefixes(first: str, last: str) -> list[str]:
+    """The fewest prefixes that cover a range of numbers of equal length, both ends included.
 
-    Numbers of 16 digits are private and count in sixteens; all shorter ones are public and count in tens.
+    Numbers of 16 digits are private and hexadecimal; all shorter ones are public and decimal.
     """
     size = len(first)
-    whole = all(digits.ALPHABET.find(character) >= 0 for character in first + last)
-    public = size < digits.MOST
-    if not 0 < size == len(last) or first > last or not whole or (public and not (first + last).isdecimal()):
+    is_valid = all(digits.ALPHABET.find(character) >= 0 for character in first + last)
+    is_public = size < digits.MAX_DIGITS
+    if (
+        not 0 < size == len(last)
+        or first > last
+        or not is_valid
+        or (is_public and not (first + last).isdecimal())
+    ):
         raise ValueError(f"no range from {first!r} to {last!r}")
-    base = 16 if size == digits.MOST else 10
-    at, end = int(first, base), int(last, base)
-    found: list[str] = []
-    while at <= end:
-        step, length = 1, size
-        while length > 0 and at % (step * base) == 0 and at + step * base - 1 <= end:
-            step, length = step * base, length - 1
-        found.append((f"{at:0{size}d}" if base == 10 else f"{at:0{size}x}")[:length])
-        at += step
-    return found
+    base = 16 if size == digits.MAX_DIGITS else 10
+    current, end = int(first, base), int(last, base)
+    prefixes: list[str] = []
+    while current <= end:
+        count, length = 1, size  # numbers that a prefix of this length covers
+        while length > 0 and current % (count * base) == 0 and current + count * base - 1 <= end:
+            count, length = count * base, length - 1
+        prefixes.append((f"{current:0{size}d}" if base == 10 else f"{current:0{size}x}")[:length])
+        current += count
+    return prefixes
--- a/wickstep/numbering/portability.py
+++ b/wickstep/numbering/portability.py
@@ -3,7 +3,7 @@
 This file owns every decision about look-ups: the cache and its ages, which questions are joined, how many
 are out, how long a call waits, and the circuit breaker. It must never touch a socket or a clock: times are
 handed in, in microseconds, and questions come out as `Ask`. It never decides about a call: a call gets
-`Ported`, or None, which means that the route's fallback holds.
+`PortingResult`, or None, which means that the route's fallback holds.
 
 A call's wait is bounded twice: by the plan, and by a part of what the call has left until its deadline, so
 that whatever the database does there is time to set the call up. A question outlives the calls that wait
@@ -17,8 +17,8 @@
 from collections.abc import Hashable
 from dataclasses import dataclass, field
 
-from wickstep.numbering.analysis import Ported
-from wickstep.numbering.table import PortabilityPlan
+from wickstep.numbering.analysis import PortingResult
+from wickstep.numbering.table import PortabilitySettings
 
 MS = 1000
 REST_MOST = 16  # times the plan's: how long the breaker rests at most
@@ -39,7 +39,7 @@
     """A call has its answer; None: the fallback."""
 
     call: Hashable
-    found: Ported | None
+    found: PortingResult | None
 
 
 @dataclass(slots=True)
@@ -55,7 +55,7 @@
     Each trial that fails doubles the rest, up to `REST_MOST` times the first.
     """
 
-    def __init__(self, plan: PortabilityPlan) -> None:
+    def __init__(self, plan: PortabilitySettings) -> None:
         self.plan = plan
         self.failures = 0
         self.open_until = 0
@@ -89,17 +89,17 @@
 class LookUps:
     """All look-ups of one softswitch."""
 
-    def __init__(self, plan: PortabilityPlan) -> None:
+    def __init__(self, plan: PortabilitySettings) -> None:
         self.plan = plan
         self.breaker = Breaker(plan)
         self.questions: OrderedDict[int, Question] = OrderedDict()  # by number, the oldest first
         self.by_number: dict[str, int] = {}
         self.by_call: dict[Hashable, int] = {}
-        self.cache: OrderedDict[str, tuple[int, Ported]] = OrderedDict()  # until when, and what
+        self.cache: OrderedDict[str, tuple[int, PortingResult]] = OrderedDict()  # until when, and what
         self.serial = 0
         self.counts: dict[str, int] = {}
 
-    def renew(self, plan: PortabilityPlan) -> None:
+    def renew(self, plan: PortabilitySettings) -> None:
         """Another table's figures. What is known and out stays, and so does the breaker's state."""
         self.plan = self.breaker.plan = plan
         self._trim()
@@ -140,7 +140,7 @@
         if at is not None:
             self.questions[at].waiting.pop(call, None)
 
-    def answered(self, at: int, found: Ported, now: int) -> list[Told]:
+    def answered(self, at: int, found: PortingResult, now: int) -> list[Told]:
         """An answer has come; nobody asked, or nobody asks any more: dropped."""
         question = self._end(at)
         if question is None:
@@ -179,7 +179,7 @@
                 told.append(Told(call, None))
         return told
 
-    def _remembered(self, number: str, now: int) -> Ported | None:
+    def _remembered(self, number: str, now: int) -> PortingResult | None:
         until, found = self.cache.get(number, (0, None))
         if found is None:
             return None
@@ -201,7 +201,7 @@
                 del self.by_call[call]
         return question
 
-    def _tell(self, why: str, call: Hashable, found: Ported | None) -> list[Ask | Told]:
+    def _tell(self, why: str, call: Hashable, found: PortingResult | None) -> list[Ask | Told]:
         self._count(why)
         return [Told(call, found)]
 
--- a/wickstep/numbering/stage.py
+++ b/wickstep/numbering/stage.py
@@ -25,8 +25,8 @@
 from wickstep.numbering import enum_dns
 from wickstep.numbering.analysis import Analysis, Verdict, analyse, resolve
 from wickstep.numbering.portability import Ask, LookUps, Told
-from wickstep.numbering.reader import LIST_MOST, TEXT_MOST, read_table
-from wickstep.numbering.table import BadTable, PortabilityPlan, Table, Trouble
+from wickstep.numbering.reader import MAX_LIST_BYTES, MAX_SETTINGS_CHARACTERS, read_table
+from wickstep.numbering.table import Diagnostic, InvalidTable, PortabilitySettings, Table
 
 log = logging.getLogger(__name__)
 
@@ -41,20 +41,20 @@
 
 
 def load(path: Path) -> Table:
-    """Read and make a table from files; raises BadTable, whatever is wrong with them."""
+    """Read and make a table from files; raises InvalidTable, whatever is wrong with them."""
     try:
         with path.open("rb") as file:
-            data = file.read(4 * TEXT_MOST + 1)
+            data = file.read(4 * MAX_SETTINGS_CHARACTERS + 1)
         text = data.decode("utf-8")
     except (OSError, UnicodeDecodeError) as trouble:
-        raise BadTable([Trouble(0, f"cannot be read: {trouble}")], str(path)) from None
+        raise InvalidTable([Diagnostic(0, f"cannot be read: {trouble}")], str(path)) from None
 
     def read_list(name: str) -> bytes:
         try:
             with (path.parent / name).open("rb") as file:
-                return file.read(LIST_MOST + 1)
+                return file.read(MAX_LIST_BYTES + 1)
         except (OSError, ValueError) as trouble:
-            raise BadTable([Trouble(0, f"{name} cannot be read: {trouble}")], str(path)) from None
+            raise InvalidTable([Diagnostic(0, f"{name} cannot be read: {trouble}")], str(path)) from None
 
     return read_table(text, read_list, str(path))
 
@@ -190,7 +190,7 @@
         began = time.monotonic()
         try:
             loaded = Loaded(load(path), took_s=time.monotonic() - began)
-        except BadTable as trouble:
+        except InvalidTable as trouble:
             loaded = Loaded(None, str(trouble))
         except Exception as trouble:  # whatever a file brings about, the loop must hear that it is over
             log.exception("reading %s", path)
@@ -219,7 +219,7 @@
         self.floor.counts["number_tables_refused"] += 1
         log.error("number table %s stays: %s", self.table.version, trouble)
 
-    def _portability(self, plan: PortabilityPlan | None) -> None:
+    def _portability(self, plan: PortabilitySettings | None) -> None:
         """Ask where the present table says; what is known and out stays as it is."""
         where = (plan.dial, plan.suffix) if plan is not None else ("", "")
         if plan is not None:
