--- a/wickstep/interface.py
+++ b/wickstep/interface.py
@@ -1,7 +1,7 @@
-"""The module's interface: settings, events and actions. No decision is taken here.
+"""The controller's interface: settings, events and actions. It must never take a decision.
 
-All times are integers in nanoseconds on the clock of the host; `now` is handed in with every event. Server
-ids are opaque strings, call ids are integers that the host never reuses within the life of one controller.
+All times are integers in nanoseconds on the host's clock; `now` is passed in with every event. Server ids are
+opaque strings; call ids are integers that the host never reuses within the life of one controller.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Effect(Enum):
-    """What a repeated set-up of a class may do."""
+    """Effect of a set-up that is sent twice, by class."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -31,9 +31,9 @@
 class Outcome(Enum):
     """How an attempt ended."""
 
-    ENDED = "ended"  # the standing call was released in the ordinary way
+    ENDED = "ended"  # the call stood and was released normally
     ERROR = "error"
-    FULL = "full"
+    FULL = "full"  # processor full, or no line free
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
@@ -42,7 +42,7 @@
 
 
 class ListKind(Enum):
-    """How a server list relates to the one already held."""
+    """How a server list relates to the one the controller has."""
 
     CHANGES = "changes"
     COMPLETE = "complete"
@@ -51,18 +51,18 @@
 
 @dataclass(slots=True, frozen=True)
 class CallClass:
-    aim: int
-    worth: float
-    late_worth: float
+    aim: int  # time from the first try within which a call should stand
+    worth: float  # of a call that stands in time
+    late_worth: float  # part of its worth left to a call that stands late
     effect: Effect
     allowed: frozenset[int] | None  # server numbers this class may use; None: any
-    holding_time: int = 0  # mean length of a call; 0: unknown
-    give_up_after: int = 0  # how long a caller keeps trying, from its first try; 0: unknown
+    holding_time: int = 0  # mean, of a call; 0: unknown
+    give_up_after: int = 0  # how long a caller redials, from its first try; 0: unknown
 
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    quota: float  # requests a second over all softswitches that count in full; math.inf: no limit
+    quota: float  # set-ups a second, over all softswitches, that count in full; math.inf: no limit
 
 
 @dataclass(slots=True, frozen=True)
@@ -70,25 +70,25 @@
     """What one deployment tells its edge proxies at start-up."""
 
     classes: tuple[CallClass, ...]
-    proxies: int
-    max_attempts: int
+    proxies: int  # in all, this one included
+    max_attempts: int  # of one call
     max_retry_after: int
     retransmit: int
-    release_wait: int
+    release_wait: int  # after a time-out, a reset or a cancel, before the call may be sent again
     drain_grace: int
-    cold_from: float
-    ramp_time: int
-    fall_multiple: float
+    cold_from: float  # part of its capacity that a server has when it starts
+    ramp_time: int  # from the start of a server to its full capacity
+    fall_multiple: float  # of its present capacity, over `fall_window`: more set-ups make a cold server fail
     fall_window: int
     may_cancel: bool
     may_probe: bool
-    may_message: bool
-    heeds_retry_after: bool
-    list_on_request: bool
-    own_number: int
+    may_message: bool  # to other softswitches
+    heeds_retry_after: bool  # callers wait for as long as a refusal advises
+    list_on_request: bool  # the server list comes only when it is asked for
+    own_number: int  # -1: none
     tenants: tuple[Tenant, ...] = ()
-    over_quota_worth: float = 1.0  # part of a call's worth that is left of it beyond its tenant's quota
-    marks_repeats: bool = True  # callers that dial again say so
+    over_quota_worth: float = 1.0  # part of its worth left to a call beyond its tenant's quota
+    marks_repeats: bool = True  # callers mark repeated tries as such
     ordinal: int = 0  # of this softswitch among its peers
 
     def __post_init__(self) -> None:
@@ -101,26 +101,25 @@
         _require(self.fall_multiple > 0, "fall_multiple", "must be above 0")
         for item in self.classes:
             _require(item.aim > 0, "aim", "must be above 0")
-            _require(item.holding_time >= 0, "length", "must not be negative")
+            _require(item.holding_time >= 0, "holding_time", "must not be negative")
             _require(item.worth >= 0, "worth", "must not be negative")
             _require(0 <= item.late_worth <= 1, "late_worth", "must lie between 0 and 1")
         for tenant in self.tenants:
             _require(tenant.quota >= 0, "quota", "must not be negative")
         _require(0 <= self.over_quota_worth <= 1, "over_quota_worth", "must lie between 0 and 1")
 
-
     @property
     def shortest_aim(self) -> int:
         return min(item.aim for item in self.classes)
 
     @property
     def max_redial_time(self) -> int:
-        """How long a caller may keep dialling for one call, in nanoseconds."""
+        """How long a caller may redial for one call."""
         return max(item.give_up_after for item in self.classes)
 
     @property
     def mean_holding_time(self) -> float:
-        """Of a call, in nanoseconds; 0 where it is not told."""
+        """Mean over the classes; 0 where the settings give none."""
         return sum(item.holding_time for item in self.classes) / len(self.classes)
 
     @property
@@ -129,12 +128,12 @@
 
     @property
     def min_yield(self) -> float:
-        """What a line earns in a nanosecond from the calls that earn least; 0 where lengths are not told."""
+        """Lowest worth per nanosecond of line time over the classes; 0 where a holding time is unknown."""
         return min(item.worth / item.holding_time if item.holding_time else 0.0 for item in self.classes)
 
 
 def estimate_wait_ms(report: Mapping[str, float]) -> float:
-    """Milliseconds at a processor: as told, or what waits there over what it takes; below 0 if not known."""
+    """Wait at a processor in ms: as reported, or its queue over its rate; negative if unknown."""
     wait, waiting, rate = (report.get(name, -1.0) for name in ("wait_ms", "waiting", "can_take"))
     return 1000 * waiting / rate if wait < 0 <= waiting and rate > 0 else wait
 
@@ -147,12 +146,12 @@
 @dataclass(slots=True, frozen=True)
 class ServerEntry:
     server: str
-    number: int
+    number: int  # a server that restarts under a new id keeps its number
     started: int  # 0: long ago
     state: ServerState
 
 
-# Events: what the host tells the controller.
+# Events: from the host to the controller.
 
 
 @dataclass(slots=True, frozen=True)
@@ -172,12 +171,12 @@
     klass: int
     max_wait: int  # how long the caller waits in this try
     first_choice: int  # number of the server of first choice
-    repeat: bool = False  # the caller dialled again
-    transit: bool = False  # handed over by another proxy: only the first choice will do
-    candidates: tuple[int, ...] = ()  # numbers of the servers it may go to, in order; none: any, as before
-    tenant: int = -1  # its place in the settings; -1: none that they know
+    repeat: bool = False  # the caller has dialled for this call before
+    transit: bool = False  # passed on by another proxy: may go to its first choice only
+    candidates: tuple[int, ...] = ()  # numbers of the servers it may go to, in order; empty: any
+    tenant: int = -1  # index in the settings; -1: not listed there
     callee: str = ""  # the number called; empty: unknown
-    advised_server: int = -1  # server with most room at a centre's last look, seconds ago; -1: none
+    advised_server: int = -1  # with most room at a central monitor's last look, seconds ago; -1: none
 
 
 @dataclass(slots=True, frozen=True)
@@ -188,9 +187,9 @@
 @dataclass(slots=True, frozen=True)
 class CallStands:
     call: int
-    attempt: int
+    attempt: int  # counted from 0
     server: str
-    delay: int
+    delay: int  # from sending to this event
 
 
 @dataclass(slots=True, frozen=True)
@@ -200,10 +199,10 @@
     server: str
     outcome: Outcome
     delay: int
-    call_over: bool
+    call_over: bool  # no further attempt is wanted
     callee_busy: bool  # all lines of the number called are taken
-    report: Mapping[str, float]  # wait_ms, waiting, can_take, free, lines; whichever are known
-    no_line: bool = False  # full for want of a line, whatever its processor may be doing
+    report: Mapping[str, float]  # wait_ms, waiting, can_take, free, lines: those that are known
+    no_line: bool = False  # full because no line is free, whatever the load of its processor
 
 
 @dataclass(slots=True, frozen=True)
@@ -216,7 +215,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TimerDue:
-    token: int
+    token: int  # of the `Wake` that set the timer
 
 
 @dataclass(slots=True, frozen=True)
@@ -238,7 +237,7 @@
 )
 
 
-# Actions: what the controller asks of the host, in order.
+# Actions: from the controller to the host, which carries them out in order.
 
 
 @dataclass(slots=True, frozen=True)
@@ -251,7 +250,7 @@
 @dataclass(slots=True, frozen=True)
 class Refuse:
     call: int
-    retry_after: int  # 0: no advice
+    retry_after: int  # 0: none advised
 
 
 @dataclass(slots=True, frozen=True)
@@ -284,7 +283,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FollowList:
-    """Ask for the server list and its changes."""
+    """Subscribe to the server list and its changes."""
 
 
 Action = Send | Refuse | Fail | Cancel | Wake | Probe | Message | FollowList
--- a/wickstep/settings.py
+++ b/wickstep/settings.py
@@ -1,7 +1,7 @@
-"""The platform's settings, as the simulator's first message and the configuration's `settings` give them.
+"""Reads the platform's settings: the JSON object in the simulator's first message and in the configuration.
 
-This file owns the names of that object, which the simulator's adapter and the softswitch on sockets both
-read. It must never touch a socket or a file, and never guess a value that must be there.
+This file owns the names in that object; the simulator's adapter and the softswitch both read it through here.
+It must never touch a socket or a file, and never guess a value that is required.
 """
 
 from __future__ import annotations
@@ -30,34 +30,34 @@
 
 
 def read_settings(conf: dict[str, Any]) -> api.Settings:
-    """Translate the settings, times in nanoseconds; unknown keys are skipped.
+    """Convert the JSON settings, times in nanoseconds; unknown keys are ignored.
 
-    Raises ValueError with the setting's name where a value is missing, of a wrong type or out of range.
+    Raises ValueError, naming the setting, if a value is missing, of a wrong type or out of range.
     """
     info, limits, rules = (get_section(conf, name) for name in ("family_info", "limits", "rules"))
     pools = info.get("allowed_pools")
-    lengths = info.get("call_length_ns")
+    holding_times = info.get("call_length_ns")
     classes = []
     for position, item in enumerate(read_list(conf, "classes", "classes")):
-        where = f"classes[{position}]"
+        path = f"classes[{position}]"
         if not isinstance(item, dict):
-            raise ValueError(f"setting {where}: {item!r} is no class")
+            raise ValueError(f"setting {path}: expected an object for a class, got {item!r}")
         pool = read_for_class(pools, position, "family_info.allowed_pools", parse_integers)
         classes.append(
             api.CallClass(
-                aim=read_integer(item, "slo_ns", f"{where}.slo_ns"),
-                worth=read_number(item, "credit", f"{where}.credit"),
-                late_worth=read_number(item, "late_value", f"{where}.late_value", 0.0),
+                aim=read_integer(item, "slo_ns", f"{path}.slo_ns"),
+                worth=read_number(item, "credit", f"{path}.credit"),
+                late_worth=read_number(item, "late_value", f"{path}.late_value", 0.0),
                 effect=EFFECTS.get(str(item.get("effect")), api.Effect.UNSAFE),
                 allowed=frozenset(pool) if pool is not None else None,
-                holding_time=read_for_class(lengths, position, "family_info.call_length_ns", int) or 0,
-                give_up_after=read_integer(item, "give_up_ns", f"{where}.give_up_ns", 0),
+                holding_time=read_for_class(holding_times, position, "family_info.call_length_ns", int) or 0,
+                give_up_after=read_integer(item, "give_up_ns", f"{path}.give_up_ns", 0),
             )
         )
     tenants = []
     for position, item in enumerate(read_list(conf, "parties", "parties") if conf.get("parties") else ()):
         if not isinstance(item, dict):
-            raise ValueError(f"setting parties[{position}]: {item!r} is no tenant")
+            raise ValueError(f"setting parties[{position}]: expected an object for a tenant, got {item!r}")
         quota = read_number(item, "quota_per_s", f"parties[{position}].quota_per_s", inf)
         tenants.append(api.Tenant(quota))
     return api.Settings(
@@ -86,63 +86,63 @@
 
 
 def get_section(conf: dict[str, Any], name: str) -> dict[str, Any]:
-    """An object in the settings; an empty one where there is none."""
-    found = conf.get(name)
-    return found if isinstance(found, dict) else {}
+    """Return an object in the settings; an empty one if it is missing or of another type."""
+    value = conf.get(name)
+    return value if isinstance(value, dict) else {}
 
 
-def require_value(where: dict[str, Any], key: str, name: str) -> Any:
-    """What stands under a key; ValueError with the setting's name where nothing does."""
-    if where.get(key) is None:
-        raise ValueError(f"setting {name}: missing")
-    return where[key]
+def require_value(section: dict[str, Any], key: str, name: str) -> Any:
+    """Return the value of a key; ValueError, naming the setting, if it is missing or null."""
+    if section.get(key) is None:
+        raise ValueError(f"setting {name}: missing, a value is required")
+    return section[key]
 
 
-def read_integer(where: dict[str, Any], key: str, name: str, absent: int | None = None) -> int:
-    """A whole number; `absent` stands for one that is not there. ValueError names the setting."""
-    return _read(where, key, name, int, absent)
+def read_integer(section: dict[str, Any], key: str, name: str, default: int | None = None) -> int:
+    """Return an integer, `default` if it is missing; ValueError, naming the setting, if it is invalid."""
+    return _read(section, key, name, int, default)
 
 
-def read_number(where: dict[str, Any], key: str, name: str, absent: float | None = None) -> float:
-    """The same for any finite number."""
-    return _read(where, key, name, float, absent)
+def read_number(section: dict[str, Any], key: str, name: str, default: float | None = None) -> float:
+    """Return a finite number; otherwise as `read_integer`."""
+    return _read(section, key, name, float, default)
 
 
-def _read(where: dict[str, Any], key: str, name: str, kind: Callable[[Any], T], absent: T | None) -> T:
-    if where.get(key) is None and absent is not None:
-        return absent
-    return convert(require_value(where, key, name), name, kind)
+def _read(section: dict[str, Any], key: str, name: str, parse: Callable[[Any], T], default: T | None) -> T:
+    if section.get(key) is None and default is not None:
+        return default
+    return convert(require_value(section, key, name), name, parse)
 
 
-def read_list(where: dict[str, Any], key: str, name: str) -> list[Any]:
-    """A list; ValueError with the setting's name where there is none."""
-    found = require_value(where, key, name)
-    if not isinstance(found, list):
-        raise ValueError(f"setting {name}: no list")
-    return found
+def read_list(section: dict[str, Any], key: str, name: str) -> list[Any]:
+    """Return a list; ValueError, naming the setting, if it is missing or of another type."""
+    value = require_value(section, key, name)
+    if not isinstance(value, list):
+        raise ValueError(f"setting {name}: expected a list")
+    return value
 
 
-def parse_integers(found: Any) -> list[int]:
-    if not isinstance(found, list):
-        raise TypeError("no list")
-    return [int(item) for item in found]
+def parse_integers(value: Any) -> list[int]:
+    if not isinstance(value, list):
+        raise TypeError("expected a list")
+    return [int(item) for item in value]
 
 
-def read_for_class(found: Any, position: int, name: str, kind: Callable[[Any], T]) -> T | None:
-    """What a list has for a class; None where there is no such list."""
-    if not found:
+def read_for_class(value: Any, position: int, name: str, parse: Callable[[Any], T]) -> T | None:
+    """Return the entry of a list with one entry per class; None if there is no such list."""
+    if not value:
         return None
-    if not isinstance(found, list) or len(found) <= position:
-        raise ValueError(f"setting {name}: nothing for class {position}")
-    return convert(found[position], f"{name}[{position}]", kind)
+    if not isinstance(value, list) or len(value) <= position:
+        raise ValueError(f"setting {name}: expected a list with an entry for class {position}")
+    return convert(value[position], f"{name}[{position}]", parse)
 
 
-def convert(value: Any, name: str, kind: Callable[[Any], T]) -> T:
-    """What `kind` makes of a value; ValueError with the setting's name where it can't."""
+def convert(value: Any, name: str, parse: Callable[[Any], T]) -> T:
+    """Return `parse(value)`; ValueError, naming the setting, if that fails or is not finite."""
     try:
-        found = kind(value)
-        if isinstance(found, float) and not isfinite(found):
-            raise ValueError("not finite")
-    except (TypeError, ValueError, OverflowError) as trouble:
-        raise ValueError(f"setting {name}: {str(value)[:80]!r} will not do: {trouble}") from trouble
-    return found
+        result = parse(value)
+        if isinstance(result, float) and not isfinite(result):
+            raise ValueError("expected a finite number")
+    except (TypeError, ValueError, OverflowError) as error:
+        raise ValueError(f"setting {name}: invalid value {str(value)[:80]!r}: {error}") from error
+    return result
