--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -44,7 +44,7 @@
 
 def converse(*lines: str) -> str:
     said = io.StringIO()
-    benchlink.converse((line + "\n" for line in lines), said)
+    benchlink.answer_batches((line + "\n" for line in lines), said)
     return said.getvalue()
 
 
@@ -143,7 +143,7 @@
     ],
 )
 def test_each_action_has_its_line(action: api.Action, line: str) -> None:
-    assert benchlink.write_action("p", action) == line
+    assert benchlink.format_action("p", action) == line
 
 
 DEPLOYED = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
--- a/wickstep/__init__.py
+++ b/wickstep/__init__.py
@@ -1,4 +1,4 @@
-"""Call admission and routing decisions for an edge proxy in front of shared signalling servers."""
+"""wickstep: a softswitch that admits calls and routes them to shared setup servers."""
 
 from wickstep.brain import Controller
 from wickstep.interface import Settings
--- a/wickstep/benchlink.py
+++ b/wickstep/benchlink.py
@@ -1,6 +1,6 @@
-"""Adapter between the bench's wire (text lines on standard input and output) and the controller.
+"""Adapter between the simulator's protocol (text lines on standard input and output) and the controller.
 
-It only translates: the words of the wire live here and nowhere else, and every decision lives in `brain.py`.
+This file owns the names of that protocol. It only translates and must never decide: `brain.py` does.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from wickstep.brain import Controller
 from wickstep.settings import REPORT_FIELDS, read_settings
 
-CONDITIONS = {
+SERVER_STATES = {
     "active": api.ServerState.ACTIVE,
     "leaving": api.ServerState.DRAINING,
     "left": api.ServerState.GONE,
@@ -37,94 +37,96 @@
     444: api.Outcome.CANCELLED,
     409: api.Outcome.MOOT,
 }
-OK = 200
-NOTE_NO_LINE, NOTE_CALLEE_BUSY = 1, 4
+STATUS_OK = 200  # of an answered probe
+NOTE_NO_LINE, NOTE_CALLEE_BUSY = 1, 4  # values of the field `note` of DONE
 
 
 class WireError(Exception):
-    """A line that the wire does not allow."""
+    """A line that violates the protocol."""
 
 
-def read_report(text: str) -> dict[str, float]:
+def parse_report(text: str) -> dict[str, float]:
     report: dict[str, float] = {}
     if text == "-":
         return report
     for pair in text.split(","):
         name, _, value = pair.partition(":")
-        known = REPORT_FIELDS.get(name)
-        if known is not None:
+        field = REPORT_FIELDS.get(name)
+        if field is not None:
             if value != "-":
-                report[known] = float(value)
+                report[field] = float(value)
         elif not value:
-            raise ValueError("a report pair has no value")
+            raise ValueError("a name in the report has no value")
     return report
 
 
-def _number(text: str) -> int:
+def _parse_integer(text: str) -> int:
     return 0 if text == "-" else int(text)
 
 
-def _bool(text: str) -> bool:
+def _parse_bool(text: str) -> bool:
     if text not in ("0", "1", "-"):
-        raise ValueError(f"not a bool: {text}")
+        raise ValueError(f"expected 0, 1 or -, got {text}")
     return text == "1"
 
 
-def _call(f: list[str]) -> api.Event:
+def _parse_new_call(fields: list[str]) -> api.Event:
     return api.NewCall(
-        call=int(f[2]),
-        klass=_number(f[3]),
-        max_wait=_number(f[6]),
-        first_choice=-1 if f[8] == "-" else int(f[8]),
-        repeat=_bool(f[11]),
-        transit=_bool(f[13]),
-        tenant=_number(f[4]),
-        callee="" if f[5] == "-" else f[5],
-        advised_server=-1 if f[10] == "-" else int(f[10]),
+        call=int(fields[2]),
+        klass=_parse_integer(fields[3]),
+        max_wait=_parse_integer(fields[6]),
+        first_choice=-1 if fields[8] == "-" else int(fields[8]),
+        repeat=_parse_bool(fields[11]),
+        transit=_parse_bool(fields[13]),
+        tenant=_parse_integer(fields[4]),
+        callee="" if fields[5] == "-" else fields[5],
+        advised_server=-1 if fields[10] == "-" else int(fields[10]),
     )
 
 
-def _ended(f: list[str]) -> api.Event:
-    rc, note = int(f[5]), _number(f[8])
+def _parse_attempt_ended(fields: list[str]) -> api.Event:
+    status, note = int(fields[5]), _parse_integer(fields[8])
     return api.AttemptEnded(
-        call=int(f[2]),
-        attempt=int(f[3]),
-        server=f[4],
-        outcome=OUTCOMES[rc],
-        delay=_number(f[6]),
-        call_over=_bool(f[7]),
+        call=int(fields[2]),
+        attempt=int(fields[3]),
+        server=fields[4],
+        outcome=OUTCOMES[status],
+        delay=_parse_integer(fields[6]),
+        call_over=_parse_bool(fields[7]),
         callee_busy=note == NOTE_CALLEE_BUSY,
-        report=read_report(f[9]),
+        report=parse_report(fields[9]),
         no_line=note == NOTE_NO_LINE,
     )
 
 
-def _probed(f: list[str]) -> api.Event:
-    return api.ProbeAnswered(f[4], int(f[3]) == OK, _number(f[2]), read_report(f[5]))
+def _parse_probe_answered(fields: list[str]) -> api.Event:
+    return api.ProbeAnswered(
+        fields[4], int(fields[3]) == STATUS_OK, _parse_integer(fields[2]), parse_report(fields[5])
+    )
 
 
-def _stands(f: list[str]) -> api.Event:
-    return api.CallStands(int(f[2]), _number(f[5]), f[3], _number(f[4]))
+def _parse_call_stands(fields: list[str]) -> api.Event:
+    return api.CallStands(int(fields[2]), _parse_integer(fields[5]), fields[3], _parse_integer(fields[4]))
 
 
-def _peer(f: list[str]) -> api.Event:
-    payload = b"" if f[3] == "-" else base64.b64decode(f[3], validate=True)
-    return api.PeerMessage(int(f[2]), payload)
+def _parse_peer_message(fields: list[str]) -> api.Event:
+    payload = b"" if fields[3] == "-" else base64.b64decode(fields[3], validate=True)
+    return api.PeerMessage(int(fields[2]), payload)
 
 
-# message name: (number of values, reader)
+# message name -> (number of values, parser)
 EVENTS: dict[str, tuple[int, Callable[[list[str]], api.Event]]] = {
-    "KNOCK": (14, _call),
-    "DONE": (9, _ended),
-    "ACK_FIRST": (5, _stands),
-    "CANCELLED_BY_CLIENT": (2, lambda f: api.CallerLeft(int(f[2]))),
-    "CHECK_RESULT": (5, _probed),
-    "TIMER": (2, lambda f: api.TimerDue(int(f[2]))),
-    "PEER_DATA": (3, _peer),
+    "KNOCK": (14, _parse_new_call),
+    "DONE": (9, _parse_attempt_ended),
+    "ACK_FIRST": (5, _parse_call_stands),
+    "CANCELLED_BY_CLIENT": (2, lambda fields: api.CallerLeft(int(fields[2]))),
+    "CHECK_RESULT": (5, _parse_probe_answered),
+    "TIMER": (2, lambda fields: api.TimerDue(int(fields[2]))),
+    "PEER_DATA": (3, _parse_peer_message),
 }
 
 
-def write_action(proxy: str, action: api.Action) -> str:
+def format_action(proxy: str, action: api.Action) -> str:
     match action:
         case api.Send():
             return f"PASS_ON {proxy} {action.call} {action.server} {action.timeout}"
@@ -145,101 +147,101 @@
             return f"FOLLOW {proxy} 1"
 
 
-class Link:
-    """The controllers of one process and the numbered lists their events refer to."""
+class ControllerHost:
+    """The controllers of one process, and the server lists by number that their events refer to."""
 
     def __init__(self) -> None:
         self.controllers: dict[str, Controller] = {}
         self.lists: dict[int, tuple[api.ServerEntry, ...]] = {}
 
-    def batch(self, now: int, lines: list[str]) -> list[str]:
+    def handle_batch(self, now: int, lines: list[str]) -> list[str]:
         reply: list[str] = []
         position = 0
         while position < len(lines):
             line = lines[position]
             try:
-                position = self._line(now, lines, position, reply)
+                position = self._handle_line(now, lines, position, reply)
             except WireError:
                 raise
-            except (ValueError, KeyError, IndexError, TypeError, AttributeError, binascii.Error) as trouble:
-                raise WireError(f"cannot read this line ({trouble}): {line}") from trouble
+            except (ValueError, KeyError, IndexError, TypeError, AttributeError, binascii.Error) as error:
+                raise WireError(f"cannot read this line ({error}): {line}") from error
         return reply
 
-    def _line(self, now: int, lines: list[str], position: int, reply: list[str]) -> int:
+    def _handle_line(self, now: int, lines: list[str], position: int, reply: list[str]) -> int:
         line = lines[position]
         fields = line.split(" ")
-        word = fields[0]
-        if word == "POOL":
-            _expect(fields, 2)
+        message = fields[0]
+        if message == "POOL":
+            _require_fields(fields, 2)
             count = int(fields[2])
             if count < 0 or position + count >= len(lines):
-                raise ValueError("entries are missing")
-            entries = [self._entry(text) for text in lines[position + 1 : position + 1 + count]]
+                raise ValueError("fewer ENTRY lines follow than this message announces")
+            entries = [self._parse_entry(text) for text in lines[position + 1 : position + 1 + count]]
             self.lists[int(fields[1])] = tuple(entries)
             return position + 1 + count
-        if word == "POWER_OFF":
-            _expect(fields, 1)
+        if message == "POWER_OFF":
+            _require_fields(fields, 1)
             self.controllers.pop(fields[1], None)
-        elif word == "BORN":
-            name, salt, conf = line.split(" ", 3)[1:]
-            controller = Controller(read_settings(json.loads(conf)), int(salt))
+        elif message == "BORN":
+            name, seed, conf = line.split(" ", 3)[1:]
+            controller = Controller(read_settings(json.loads(conf)), int(seed))
             self.controllers[name] = controller
-            self._tell(name, api.Started(), now, reply)
-        elif word == "DIRECTORY_UPDATE":
-            _expect(fields, 4)
+            self._deliver(name, api.Started(), now, reply)
+        elif message == "DIRECTORY_UPDATE":
+            _require_fields(fields, 4)
             kind = LIST_KINDS[fields[2]]
-            entries_told = () if kind is api.ListKind.REFUSED else self.lists[int(fields[3])]
-            self._tell(fields[1], api.ServerList(kind, entries_told), now, reply)
-        elif word in EVENTS:
-            count, read = EVENTS[word]
-            _expect(fields, count)
-            self._tell(fields[1], read(fields), now, reply)
+            listed = () if kind is api.ListKind.REFUSED else self.lists[int(fields[3])]
+            self._deliver(fields[1], api.ServerList(kind, listed), now, reply)
+        elif message in EVENTS:
+            count, parse_event = EVENTS[message]
+            _require_fields(fields, count)
+            self._deliver(fields[1], parse_event(fields), now, reply)
         else:
             raise ValueError("unknown message")
         return position + 1
 
-    def _entry(self, line: str) -> api.ServerEntry:
+    def _parse_entry(self, line: str) -> api.ServerEntry:
         try:
             fields = line.split(" ")
-            _expect(fields, 7)
+            _require_fields(fields, 7)
             if fields[0] != "ENTRY":
-                raise ValueError("a list entry was expected")
+                raise ValueError("expected an ENTRY line")
             float(fields[7])
-            started = _number(fields[3])
-            return api.ServerEntry(fields[2], int(fields[1]), started, CONDITIONS[fields[6]])
-        except (ValueError, KeyError) as trouble:
-            raise WireError(f"cannot read this line ({trouble}): {line}") from trouble
+            started = _parse_integer(fields[3])
+            return api.ServerEntry(fields[2], int(fields[1]), started, SERVER_STATES[fields[6]])
+        except (ValueError, KeyError) as error:
+            raise WireError(f"cannot read this line ({error}): {line}") from error
 
-    def _tell(self, name: str, event: api.Event, now: int, reply: list[str]) -> None:
+    def _deliver(self, name: str, event: api.Event, now: int, reply: list[str]) -> None:
         controller = self.controllers.get(name)
         if controller is None:
-            raise ValueError("no such instance is running")
-        reply.extend(write_action(name, action) for action in controller.handle(event, now))
+            raise ValueError("no controller of this name is running")
+        reply.extend(format_action(name, action) for action in controller.handle(event, now))
 
 
-def _expect(fields: list[str], count: int) -> None:
+def _require_fields(fields: list[str], count: int) -> None:
     if len(fields) <= count:
-        raise ValueError("a value is missing")
+        raise ValueError("the message has too few values")
 
 
-def converse(source: Iterable[str], target: TextIO) -> None:
-    """Answer batch after batch until the input ends."""
-    link = Link()
+def answer_batches(source: Iterable[str], target: TextIO) -> None:
+    """Answer each batch of lines (TICK to END) until the input ends; WireError on a violation."""
+    host = ControllerHost()
     now: int | None = None
     lines: list[str] = []
     last = ""
     for raw in source:
         line = last = raw.rstrip("\n")
         if now is None:
-            word, _, clock = line.partition(" ")
-            if word != "TICK":
-                raise WireError(f"a batch must begin with TICK: {line}")
+            message, _, time_text = line.partition(" ")
+            if message != "TICK":
+                raise WireError(f"expected TICK at the start of a batch, got: {line}")
             try:
-                now = int(clock)
-            except ValueError as trouble:
-                raise WireError(f"cannot read this line ({trouble}): {line}") from trouble
+                now = int(time_text)
+            except ValueError as error:
+                raise WireError(f"cannot read this line ({error}): {line}") from error
         elif line == "END":
-            reply = link.batch(now, lines)
+            reply = host.handle_batch(now, lines)
             reply.append("END\n")
             target.write("\n".join(reply))
             target.flush()
@@ -252,9 +254,9 @@
 
 def main() -> int:
     try:
-        converse(sys.stdin, sys.stdout)
-    except WireError as trouble:
-        print(f"benchlink: {trouble}", file=sys.stderr)
+        answer_batches(sys.stdin, sys.stdout)
+    except WireError as error:
+        print(f"benchlink: {error}", file=sys.stderr)
         return 1
     return 0
 
