--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What all stories share: nothing here waits for a drawn moment, unless the story is about that."""
+"""Fixture of all tests: switches random delays off, except where a test is about them."""
 
 import pytest
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A small host for tests: servers, settings, and an independent reading of the rules."""
+"""A small host for tests of the controller: servers, settings, timers and a log of its actions."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 class Host:
-    """Feeds one controller, keeps its timers and collects what it does."""
+    """Passes events to one controller, keeps its timers and logs its actions."""
 
     def __init__(self, servers: int = 2, seed: int = 1, **changes: Any) -> None:
         self.settings = replace(SETTINGS, **changes)
@@ -74,8 +74,8 @@
             self.handle(api.ProbeAnswered(name, True, 0, {"free": float(free), "lines": float(lines)}))
 
     def new_call(self, number: int, klass: int = 0, first: int = 0, **more: Any) -> api.Actions:
-        patience = more.pop("max_wait", 3 * SECOND)
-        return self.handle(api.NewCall(number, klass, patience, first, **more))
+        max_wait = more.pop("max_wait", 3 * SECOND)
+        return self.handle(api.NewCall(number, klass, max_wait, first, **more))
 
     def call_stands(self, number: int, server: str, took: int = 50 * MS, attempt: int = 0) -> api.Actions:
         return self.handle(api.CallStands(number, attempt, server, took))
@@ -97,7 +97,7 @@
     def advance(self, duration: int) -> api.Actions:
         """Let time pass, delivering timers that fall due."""
         end = self.now + duration
-        done: api.Actions = []
+        actions: api.Actions = []
         while True:
             due = [t for t in self.timers if t[0] <= end]
             if not due:
@@ -105,9 +105,9 @@
             first = min(due)
             self.timers.remove(first)
             self.now = max(self.now, first[0])
-            done += self.handle(api.TimerDue(first[1]))
+            actions += self.handle(api.TimerDue(first[1]))
         self.now = end
-        return done
+        return actions
 
     def sends(self) -> list[tuple[int, api.Send]]:
         return [(at, action) for at, action in self.action_log if isinstance(action, api.Send)]
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -1,4 +1,4 @@
-"""The design's mechanism: step, clamps, draw, routing, skip mark."""
+"""The mechanism of overload control: step of the pass share, clamps, draw, routing, skip mark."""
 
 import pytest
 
@@ -17,7 +17,7 @@
 from .helpers import MS, SECOND, Host, final_answers, sent_servers
 
 
-def test_share_follows_the_step_by_hand() -> None:
+def test_share_follows_the_step_formula() -> None:
     host = Host()
     server = host.controller.servers["s0"]
     server.share, server.rho, server.has_new_sample = 0.5, 1.1, True
@@ -59,7 +59,7 @@
     assert sent_servers(host.new_call(2, first=0)) == ["s0"]
 
 
-def test_pointer_turns_over_the_other_servers() -> None:
+def test_overflow_rotates_over_the_other_servers() -> None:
     host = Host(servers=3)
     host.controller.servers["s0"].mark_until = host.now + SECOND
     host.controller.rotation = 0.0
@@ -77,7 +77,7 @@
     assert sent_servers(host.new_call(3, first=0)) == ["s0"]
 
 
-def test_draw_refuses_about_the_share_and_never_by_sender() -> None:
+def test_draw_admits_about_the_pass_share() -> None:
     host = Host(servers=1)
     host.controller.servers["s0"].share = 0.4
     passed = 0
@@ -93,7 +93,7 @@
     assert final_answers(host.new_call(1)) == [api.Refuse(1, FIRST_MARK)]
 
 
-def test_all_marked_holds_and_sends_when_the_mark_ends() -> None:
+def test_a_call_is_queued_while_all_servers_are_marked_and_sent_when_the_mark_ends() -> None:
     host = Host()
     for server in host.controller.servers.values():
         server.mark_until = host.now + 100 * MS
@@ -110,8 +110,8 @@
     assert server.share <= 0.2
 
 
-def erring(host: Host) -> None:
-    """s0 answers one set-up after another with an error, until it is marked for it; s1 is well."""
+def make_s0_fail(host: Host) -> None:
+    """s0 answers each set-up with an error until it has a skip mark; s1 works."""
     host.report_lines(s0=(50, 60), s1=(50, 60))
     for number in range(1000, 1000 + 3 * MAX_ERROR_RUN):
         host.now += MS
@@ -123,22 +123,22 @@
     assert host.controller.servers["s0"].error_rate > ERROR_LIMIT
 
 
-def test_a_server_marked_for_its_errors_serves_where_nobody_else_has_a_line() -> None:
+def test_a_server_marked_for_errors_is_used_where_no_other_has_a_line() -> None:
     host = Host()
-    erring(host)
-    assert sent_servers(host.new_call(1, first=0)) == ["s1"]  # the other has lines: it is skipped
+    make_s0_fail(host)
+    assert sent_servers(host.new_call(1, first=0)) == ["s1"]  # s1 has free lines, so s0 is skipped
     host.report_lines(s1=(0, 60))
     assert sent_servers(host.new_call(2, first=0)) == ["s0"]
-    # not one told to have no line
+    # not s1, which has no free line
     assert sent_servers(host.attempt_ended(2, "s0", api.Outcome.ERROR)) == ["s0"]
     host.report_lines(s1=(2, 60))
-    # its errors end no call
+    # errors of a server marked for them do not end the call
     assert sent_servers(host.attempt_ended(2, "s0", api.Outcome.ERROR, attempt=1)) == ["s1"]
     full = api.AttemptEnded(2, 2, "s1", api.Outcome.FULL, MS, False, False, {}, no_line=True)
     assert sent_servers(host.handle(full)) == ["s0"]
 
 
-def test_two_errors_end_a_call_where_servers_are_well() -> None:
+def test_two_errors_end_a_call_where_error_rates_are_low() -> None:
     host = Host()
     host.report_lines(s0=(50, 60), s1=(50, 60))
     assert sent_servers(host.new_call(1, first=0)) == ["s0"]
@@ -146,11 +146,11 @@
     assert final_answers(host.attempt_ended(1, "s1", api.Outcome.ERROR, attempt=1)) == [api.Fail(1)]
 
 
-def test_errors_are_no_sign_of_load() -> None:
+def test_errors_do_not_lower_the_pass_share() -> None:
     host = Host()
     host.report_lines(s0=(50, 60), s1=(50, 60))
     for number in range(1, 81):
-        host.report_lines(s0=(50, 60), s1=(50, 60))  # or those sent there would have filled them
+        host.report_lines(s0=(50, 60), s1=(50, 60))  # else the set-ups sent would use the lines up
         host.advance(50 * MS)
         if "s0" in sent_servers(host.new_call(number, first=0)):
             host.attempt_ended(number, "s0", api.Outcome.ERROR)
