--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The adapter: round trips, bad input, and the deploy file's command as a subprocess."""
+"""The simulator's adapter: round trips, malformed input, and the deployed command as a subprocess."""
 
 import io
 import json
@@ -31,7 +31,7 @@
     "peers_total": 3,
     "something_new": {"a": 1},
 }
-BIRTH = [
+START_LINES = [
     "TICK 5000000000",
     f"BORN proxy_0 17 {json.dumps(CONF)}",
     "POOL 0 1",
@@ -39,20 +39,20 @@
     "DIRECTORY_UPDATE proxy_0 remembered 0 4",
     "END",
 ]
-CALL = "KNOCK proxy_0 77 0 0 00000000000000aa 3000000000 - 0 1 -1 0 0 0 0"
+CALL_LINE = "KNOCK proxy_0 77 0 0 00000000000000aa 3000000000 - 0 1 -1 0 0 0 0"
 
 
-def converse(*lines: str) -> str:
-    said = io.StringIO()
-    benchlink.answer_batches((line + "\n" for line in lines), said)
-    return said.getvalue()
+def run_adapter(*lines: str) -> str:
+    output = io.StringIO()
+    benchlink.answer_batches((line + "\n" for line in lines), output)
+    return output.getvalue()
 
 
-def test_a_call_is_sent_stands_and_ends() -> None:
-    reply = converse(
-        *BIRTH,
+def test_a_call_is_sent_and_not_refused_until_its_end() -> None:
+    reply = run_adapter(
+        *START_LINES,
         "TICK 5005000000",
-        CALL,
+        CALL_LINE,
         "END",
         "TICK 5045000000",
         "ACK_FIRST proxy_0 77 10.0.0.1:80 40000000 0",
@@ -67,11 +67,11 @@
 
 
 def test_an_empty_batch_gets_an_empty_reply() -> None:
-    assert converse("TICK 1", "END") == "END\n"
+    assert run_adapter("TICK 1", "END") == "END\n"
 
 
 def test_input_may_end_between_batches() -> None:
-    assert converse() == ""
+    assert run_adapter() == ""
 
 
 @pytest.mark.parametrize(
@@ -93,14 +93,14 @@
     ],
 )
 def test_a_malformed_line_is_named(line: str) -> None:
-    with pytest.raises(benchlink.WireError) as trouble:
-        converse(*BIRTH, "TICK 5005000000", line, "END")
-    assert line in str(trouble.value)
+    with pytest.raises(benchlink.WireError) as raised:
+        run_adapter(*START_LINES, "TICK 5005000000", line, "END")
+    assert line in str(raised.value)
 
 
 def test_input_that_ends_inside_a_batch_is_an_error() -> None:
     with pytest.raises(benchlink.WireError, match="END is missing"):
-        converse(*BIRTH, "TICK 5005000000", CALL)
+        run_adapter(*START_LINES, "TICK 5005000000", CALL_LINE)
 
 
 @pytest.mark.parametrize(
@@ -158,22 +158,22 @@
     )
 
 
-def test_the_deployed_command_converses_and_exits_0() -> None:
-    done = run_deployed("\n".join([*BIRTH, "TICK 5005000000", CALL, "END"]) + "\n")
-    assert done.returncode == 0
-    assert "PASS_ON proxy_0 77 10.0.0.1:80" in done.stdout
-    assert done.stderr == ""
+def test_the_deployed_command_answers_and_exits_0() -> None:
+    result = run_deployed("\n".join([*START_LINES, "TICK 5005000000", CALL_LINE, "END"]) + "\n")
+    assert result.returncode == 0
+    assert "PASS_ON proxy_0 77 10.0.0.1:80" in result.stdout
+    assert result.stderr == ""
 
 
 def test_the_deployed_command_names_a_bad_line_and_fails() -> None:
-    done = run_deployed("TICK 1\nNONSENSE here\nEND\n")
-    assert done.returncode == 1
-    assert done.stdout == ""
-    assert "NONSENSE here" in done.stderr
-    assert "Traceback" not in done.stderr
+    result = run_deployed("TICK 1\nNONSENSE here\nEND\n")
+    assert result.returncode == 1
+    assert result.stdout == ""
+    assert "NONSENSE here" in result.stderr
+    assert "Traceback" not in result.stderr
 
 
-def test_the_build_leaves_compiled_modules_since_a_start_cannot_write_them(tmp_path: Path) -> None:
+def test_the_build_compiles_all_modules_as_a_start_cannot_write_them(tmp_path: Path) -> None:
     shutil.copytree(ROOT / "wickstep", tmp_path / "wickstep", ignore=shutil.ignore_patterns("__pycache__"))
     (tmp_path / ".venv").symlink_to(sys.prefix)
     subprocess.run(["/bin/sh", "-c", DEPLOYED["build"]], cwd=tmp_path, check=True)
--- a/wickstep/brain.py
+++ b/wickstep/brain.py
@@ -255,7 +255,7 @@
         return not overloaded and (server.free > 0 or not server.lines)
 
     def _serve_queued(self, server: Server | None = None) -> None:
-        """Dispatch queued calls, maybe thousands; after news of one server, only while that can take more."""
+        """Dispatch queued calls, maybe thousands; for one server, only while that can take more."""
         queued = iter(sorted(self.queued.values(), key=self._estimate_worth, reverse=True))
         while not server or (self.may_try(server) and self._ready(server) and server.free >= server.reported):
             if (call := next(queued, None)) is None:
--- a/wickstep/interface.py
+++ b/wickstep/interface.py
@@ -176,7 +176,7 @@
     candidates: tuple[int, ...] = ()  # numbers of the servers it may go to, in order; empty: any
     tenant: int = -1  # index in the settings; -1: not listed there
     callee: str = ""  # the number called; empty: unknown
-    advised_server: int = -1  # with most room at a central monitor's last look, seconds ago; -1: none
+    advised_server: int = -1  # with most room by a central monitor, seconds ago; -1: none
 
 
 @dataclass(slots=True, frozen=True)
