--- a/wickstep/recovery/__init__.py
+++ b/wickstep/recovery/__init__.py
@@ -1,6 +1,6 @@
-"""What one process leaves to the next: what it had learned, in files that may be spoilt, old or another's.
+"""State that is kept over restarts: what a controller has learned, and the write-ahead journal of calls.
 
-This package owns what is kept and how much of it still counts. Which servers there are, drain or are gone
-comes from the list alone; nothing here may say so. Where a file cannot be used the start is fresh, which
-costs the learning and nothing else.
+This package owns what is stored and how much of it still counts after a restart. It must never say which
+servers exist, drain or are gone: that comes from the pool list alone. A file that is corrupt, too old or
+another softswitch's is not used; the start is then without what it held, and nothing else is lost.
 """
--- a/wickstep/recovery/call_recovery.py
+++ b/wickstep/recovery/call_recovery.py
@@ -1,7 +1,7 @@
-"""Brings about what settling decides, in the loop: releases towards callers and servers of calls from before.
+"""Carries out in the loop what the reconciliation decides: releases recovered calls to callers and servers.
 
-This file owns what is still owed to servers that are not connected. It must never decide what becomes of a
-call, and never speak of one that this process has set up itself.
+This file owns the releases that are still due to servers without a connection. It must never decide what
+becomes of a call, and never release one that this process has set up itself.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 
 log = logging.getLogger(__name__)
 
-EVERY_US = 50_000  # how often it goes on
-OWED_MOST = 5000  # releases that wait for a connection to their servers
-OWED_US = 60_000_000  # a server that is not back by then has none of it
+STEP_INTERVAL_US = 50_000
+MAX_PENDING_RELEASES = 5000  # releases that wait for a connection to their servers
+PENDING_RELEASE_TIMEOUT_US = 60_000_000  # releases for a server that is not connected by then are dropped
 
 
 class CallRecovery:
@@ -33,51 +33,52 @@
         shared: SharedState,
         take_in: TakeInStage,
         journal: Journal,
-        pace: float,
+        settle_rate: float,
         confirm_us: int,
         seed: int,
     ) -> None:
         self.shared, self.take_in, self.journal = shared, take_in, journal
-        self._pace, self._confirm_us, self._random = pace, confirm_us, random.Random(seed)
-        self.reconciler = Reconciler({}, shared.now, pace, confirm_us, 0.0)
-        self.owed: dict[str, list[int]] = defaultdict(list)  # by server
-        self._owed_until = 0
+        self._settle_rate, self._confirm_us, self._random = settle_rate, confirm_us, random.Random(seed)
+        self.reconciler = Reconciler({}, shared.now, settle_rate, confirm_us, 0.0)
+        self.pending_releases: dict[str, list[int]] = defaultdict(list)  # by server
+        self._release_until = 0
 
     def start(self) -> ReplayResult:
-        """Before the first caller, with the list of servers heard."""
+        """Replay the journal. Called before the first caller is served, once the pool list is known."""
         shared = self.shared
-        found = self.journal.open(shared.now)
-        standing = {call: k.host for call, k in found.live.items() if k.phase is Phase.STANDS}
+        result = self.journal.open(shared.now)
+        standing = {call: k.host for call, k in result.live.items() if k.phase is Phase.STANDS}
         shared.inherited_calls.add(standing, shared.now)
-        shared.inherited_calls.on_taken = self._heard
-        for call, known in found.live.items():
-            if known.host and known.phase is not Phase.STANDS:  # it may have run: never again
+        shared.inherited_calls.on_taken = self._on_call_taken
+        for call, state in result.live.items():
+            if state.host and state.phase is not Phase.STANDS:  # may have been set up: must not be sent again
                 self.take_in.book.remember(call)
-        now, drawn = shared.now, self._random.random()
-        self.reconciler = Reconciler(found.live, now, self._pace, self._confirm_us, drawn)
-        self._owed_until = now + self._confirm_us + OWED_US
-        if found.live or found.corrupt or found.skipped:
-            log.warning("the journal of calls: %s", found.summary())
-        self.go_on()
-        return found
-
-    def _heard(self, call: int) -> None:
-        """A call from before has come to its end, or is about to be ended here: its caller is told next."""
+        now, jitter = shared.now, self._random.random()
+        self.reconciler = Reconciler(result.live, now, self._settle_rate, self._confirm_us, jitter)
+        self._release_until = now + self._confirm_us + PENDING_RELEASE_TIMEOUT_US
+        if result.live or result.corrupt or result.skipped:
+            log.warning("the journal of calls: %s", result.summary())
+        self.advance()
+        return result
+
+    def _on_call_taken(self, call: int) -> None:
+        """A recovered call has ended, or is about to be ended here. Its caller is notified next."""
         self.reconciler.call_ended(call)
         self.journal.attempt_over(call)
 
-    def go_on(self) -> None:
+    def advance(self) -> None:
+        """Settle the calls that are due, and schedule the next step until nothing is left to do."""
         shared = self.shared
-        for step in self.reconciler.next_steps(self.views(), shared.now):
-            self._do(step)
-        self._pay()
-        if len(self.reconciler) or (self.owed and shared.now < self._owed_until):
-            shared.schedule(shared.now + EVERY_US, self.go_on)
-        elif any(self.reconciler.verdicts.values()):
-            told = ", ".join(f"{v.value} {count}" for v, count in self.reconciler.verdicts.items() if count)
-            log.warning("calls from before are settled: %s", told)
-
-    def views(self) -> dict[str, ServerView]:
+        for step in self.reconciler.next_steps(self.get_server_views(), shared.now):
+            self._carry_out(step)
+        self._send_pending_releases()
+        if len(self.reconciler) or (self.pending_releases and shared.now < self._release_until):
+            shared.schedule(shared.now + STEP_INTERVAL_US, self.advance)
+        elif any(self.reconciler.verdict_counts.values()):
+            counts = ", ".join(f"{v.value} {n}" for v, n in self.reconciler.verdict_counts.items() if n)
+            log.warning("calls from before are settled: %s", counts)
+
+    def get_server_views(self) -> dict[str, ServerView]:
         return {
             server.host: ServerView(
                 server.state is not ServerState.GONE,
@@ -87,31 +88,31 @@
             for server in self.shared.servers.values()
         }
 
-    def _do(self, step: Step) -> None:
-        counts, call, host = self.shared.counters, step.call, step.known.host
-        counts[f"calls_from_before_{step.verdict.name.lower()}"] += 1
+    def _carry_out(self, step: Step) -> None:
+        counters, call, host = self.shared.counters, step.call, step.state.host
+        counters[f"calls_from_before_{step.verdict.name.lower()}"] += 1
         match step.verdict:
             case Verdict.CONFIRMED:
-                return  # it stands on, in the table of calls from before
+                return  # stays in the table of inherited calls
             case Verdict.CUT | Verdict.RELEASED:
-                if self.shared.inherited_calls.take(call) is not None or step.known.phase is Phase.ENDING:
+                if self.shared.inherited_calls.take(call) is not None or step.state.phase is Phase.ENDING:
                     self.take_in.book.send_release(Release(call, Reason.INTERRUPTED), None)
                 if step.verdict is Verdict.RELEASED:
-                    self._owe(host, call)
-                return  # ended once its caller has heard
+                    self._queue_release(host, call)
+                return  # the journal ends it when its caller has confirmed the release
             case Verdict.GIVEN_UP:
-                self._owe(host, call)
+                self._queue_release(host, call)
         self.journal.call_ended(call)
 
-    def _owe(self, host: str, call: int) -> None:
-        if sum(map(len, self.owed.values())) < OWED_MOST:
-            self.owed[host].append(call)
+    def _queue_release(self, host: str, call: int) -> None:
+        if sum(map(len, self.pending_releases.values())) < MAX_PENDING_RELEASES:
+            self.pending_releases[host].append(call)
 
-    def _pay(self) -> None:
-        """Release what is owed to servers that are connected; a server without the call takes no notice."""
-        for host in [*self.owed]:
+    def _send_pending_releases(self) -> None:
+        """Send the releases due to connected servers; a server without the call ignores its release."""
+        for host in [*self.pending_releases]:
             server = self.shared.servers.get(host)
             if server is None or (server.link is not None and all(
-                server.link.send(Release(call, Reason.CLEARED)) for call in self.owed[host]
+                server.link.send(Release(call, Reason.CLEARED)) for call in self.pending_releases[host]
             )):
-                del self.owed[host]
+                del self.pending_releases[host]
--- a/wickstep/recovery/jitter.py
+++ b/wickstep/recovery/jitter.py
@@ -1,33 +1,33 @@
-"""When a start, or any news that all hear at once, is followed by what each does harmlessly alone.
+"""Random delays of what all softswitches would otherwise do at once, after a common start or common news.
 
-This file owns those draws. It must never do I/O or read a clock: it is handed a source of random numbers,
-and says how long to wait. Nothing that a caller waits for is ever delayed by it.
+This file owns those draws. It must never do I/O or read a clock: it is given a source of random numbers and
+returns how long to wait. Nothing that a caller waits for may be delayed by it.
 
-The sum over a fleet is bounded by spreading: of n that begin in one instant, n * 0.1 / LIST_JITTER_S call
-for the list in the same tenth of a second, 14 in a hundred, and from then on ever fewer do, since each
-call is held for a drawn time. A change that is told meanwhile is heard `LIST_JITTER_S` later at most, and
-within half the time that the settings leave for it: where that is short, a fleet calls closer together.
+The delays bound the load of a whole fleet: of n softswitches that start at once, n * 0.1 / LIST_JITTER_S poll
+for the pool list in the same tenth of a second (14 in a hundred), and ever fewer from then on, as the hold
+time of each poll is drawn too. A change that is published meanwhile is received `LIST_JITTER_S` late at most,
+and within half of the grace time of the settings: where that is short, a fleet's polls lie closer together.
 """
 
 from __future__ import annotations
 
 from random import Random
 
-LIST_JITTER_S = 0.7  # of the first call for the list, where there is a list from the start
-LIST_HOLD_MS = (1600, 2400)  # how long the bulletin may hold a call; a dead one is noticed a second later
-DIAL_JITTER_US = 500_000  # of connections to servers that no set-up waits for
+LIST_JITTER_S = 0.7  # before the first poll, if a list is known from the start
+LIST_HOLD_MS = (1600, 2400)  # how long a poll may be held; a dead connection is noticed a second later
+DIAL_JITTER_US = 500_000  # before connections that no set-up waits for
 
 
 def draw_list_delay_s(random: Random, list_known: bool, grace_s: float) -> float:
-    """Seconds before the first call for the list; none where nothing is known without it.
+    """Seconds before the first poll for the list; 0 if no server is known without it.
 
-    `grace_s`: for so long after a server was told to go may it still be sent to.
+    `grace_s`: for how long a server may still be sent set-ups after it was told to go.
     """
     return random.random() * min(LIST_JITTER_S, grace_s / 2) if list_known else 0.0
 
 
 def draw_list_hold_ms(random: Random) -> int:
-    """Milliseconds that the bulletin may hold the next call."""
+    """Milliseconds for which the server of the pool list may hold the next poll."""
     return random.randint(*LIST_HOLD_MS)
 
 
--- a/wickstep/recovery/learned.py
+++ b/wickstep/recovery/learned.py
@@ -1,12 +1,12 @@
 """What a controller has learned of its servers, and how much of it still counts later.
 
-This file owns what is kept and the law by which it ages. It must never do I/O or read a clock, and never say
-that a server is there, drains or is gone: only what is on the list at the time is given anything back, and
-only if it is the process that it was learned of.
+This file owns what is stored and how it ages. It must never do I/O or read a clock, and never say that a
+server is there, drains or is gone: state is restored only to servers that are on the list at the time, and
+only if the same process still runs there.
 
-The law: what describes a load (share, occupancy, window, part lost) counts by 0.5 ** (age / HALF) against
-what a start assumes, and not at all once that is under `LEAST`. A mark ends when it would have ended.
-Shortest set-up times are a property of a machine: they count until `MAX_MIN_TIME_AGE` and then not at all.
+What describes a load (share, occupancy, window, loss) is weighted by 0.5 ** (age / HALF_LIFE) against the
+initial values, and dropped once that is under MIN_WEIGHT. A mark ends when it would have ended. Shortest
+set-up times are a property of a machine: they count in full until MAX_MIN_TIME_AGE, and then not at all.
 """
 
 from __future__ import annotations
@@ -19,22 +19,22 @@
 from wickstep.brain import INITIAL_WINDOW, MAX_MARK, MAX_SAMPLE, MIN_WINDOW, P_MIN, Controller, Server
 
 SECOND = 1_000_000_000  # nanoseconds, the unit of every time in this file
-HALF_LIFE = 5 * SECOND  # the age at which what was learned of a load counts half
-LEAST = 1 / 16  # less weight than this is none
+HALF_LIFE = 5 * SECOND  # of what describes a load
+MIN_WEIGHT = 1 / 16  # a smaller weight counts as 0
 MAX_MIN_TIME_AGE = 600 * SECOND
-AHEAD = SECOND  # a record so far from the future is another clock's
-WINDOW_MOST = 1000.0
-FAILS_MOST = 16
+MAX_CLOCK_SKEW = SECOND  # a state that is more than this in the future was written by another clock
+MAX_WINDOW = 1000.0
+MAX_FAILURES = 16
 FIELDS = ("host", "born_ms", "share", "rho", "window", "min_time", "mark_left", "failures", "cold_age")
 
 
 class InvalidState(ValueError):
-    """A record that is no record, or of another time; the text says why."""
+    """Stored state that is malformed, or of an unusable age; the text says why."""
 
 
 @dataclass(slots=True, frozen=True)
 class ServerRecord:
-    """What is kept of one server."""
+    """What is stored of one server."""
 
     host: str
     born_ms: int  # Unix time of its start, as the list says; 0: long ago
@@ -42,14 +42,14 @@
     rho: float | None
     window: float
     min_time: float  # nanoseconds
-    mark_left: int  # nanoseconds that it was marked for still
+    mark_left: int  # remaining nanoseconds of its mark
     failures: int
-    cold_age: int  # nanoseconds since it started cold, by the list or by what it did; 0: long ago
+    cold_age: int  # nanoseconds since its cold start, as listed or as observed; 0: long ago
 
 
 @dataclass(slots=True, frozen=True)
 class LearnedState:
-    """What is kept of a controller."""
+    """What is stored of a controller."""
 
     at: int  # when, in nanoseconds of the clock that reader and writer share
     loss: float
@@ -57,15 +57,15 @@
 
 
 def take_snapshot(controller: Controller, born_ms: Mapping[str, int], now: int, at: int) -> LearnedState:
-    """What to keep now, of the servers on the list; `born_ms` by host. `now` is the controller's clock, `at`
-    the one that is shared with the reader."""
+    """The state to store, of the servers on the list; `born_ms` by host. `now` is the controller's clock,
+    `at` the one that is shared with the reader."""
     records = [
         ServerRecord(
             host=name,
             born_ms=born_ms[name],
             share=server.share,
             rho=server.rho,
-            window=min(server.window, WINDOW_MOST),
+            window=min(server.window, MAX_WINDOW),
             min_time=server.min_time,
             mark_left=max(server.mark_until - now, 0),
             failures=server.failures,
@@ -80,36 +80,36 @@
 def restore(
     controller: Controller, learned: LearnedState, born_ms: Mapping[str, int], now: int, at: int
 ) -> int:
-    """Give a controller that has just heard its list what still counts; how many servers got something.
+    """Give a controller that has just got its list what still counts; returns for how many servers.
 
-    Raises InvalidState for a record from the future.
+    Raises InvalidState for a state from the future.
     """
     age = at - learned.at
-    if age < -AHEAD:
-        raise InvalidState(f"written {-age / SECOND:.1f} s from now")
+    if age < -MAX_CLOCK_SKEW:
+        raise InvalidState(f"it was written {-age / SECOND:.1f} s in the future")
     age = max(age, 0)
     weight = weight_at_age(age)
     controller.loss = weight * learned.loss
-    given = 0
+    restored = 0
     for record in learned.servers:
         server = controller.servers.get(record.host)
         if server is None or born_ms.get(record.host) != record.born_ms:
-            continue  # gone, or another process: it inherits nothing
-        _give(server, record, age, weight, now)
-        given += 1
-    return given
+            continue  # gone, or another process now: it inherits nothing
+        _restore_server(server, record, age, weight, now)
+        restored += 1
+    return restored
 
 
 def weight_at_age(age: int) -> float:
-    """How much what was learned of a load counts after so long, from 1 down to 0."""
+    """The weight of what describes a load at this age, from 1 down to 0."""
     weight = math.pow(0.5, age / HALF_LIFE)
-    return weight if weight >= LEAST else 0.0
+    return weight if weight >= MIN_WEIGHT else 0.0
 
 
-def _give(server: Server, record: ServerRecord, age: int, weight: float, now: int) -> None:
+def _restore_server(server: Server, record: ServerRecord, age: int, weight: float, now: int) -> None:
     server.share = 1.0 + weight * (record.share - 1.0)
     if record.rho is not None and weight:
-        server.rho = weight * record.rho  # an idle server's would be none at all
+        server.rho = weight * record.rho  # at weight 0 it stays None, as for an idle server
     server.window = max(MIN_WINDOW, INITIAL_WINDOW + weight * (record.window - INITIAL_WINDOW))
     if age < MAX_MIN_TIME_AGE:
         server.min_time = record.min_time
@@ -121,7 +121,7 @@
 
 
 def encode(learned: LearnedState) -> dict[str, Any]:
-    """As JSON has it."""
+    """The state as a JSON object."""
     return {
         "at": learned.at,
         "loss": learned.loss,
@@ -130,41 +130,41 @@
 
 
 def decode(content: Any) -> LearnedState:
-    """What was written; raises InvalidState for whatever makes no sense, since a good checksum does not."""
+    """Inverse of `encode`; raises InvalidState for bad values, which a valid checksum does not rule out."""
     try:
         return LearnedState(
-            _whole(content["at"], 0, 2**63),
-            _real(content["loss"], 0, 1),
-            tuple(_record(line) for line in content["servers"]),
+            _check_integer(content["at"], 0, 2**63),
+            _check_number(content["loss"], 0, 1),
+            tuple(_decode_server(row) for row in content["servers"]),
         )
-    except (LookupError, TypeError, ValueError) as trouble:
-        raise InvalidState(f"no record: {trouble}") from trouble
+    except (LookupError, TypeError, ValueError) as error:
+        raise InvalidState(f"malformed learned state: {error}") from error
 
 
-def _record(line: Sequence[Any]) -> ServerRecord:
-    host, born_ms, share, rho, window, base, mark, fails, cold = line
+def _decode_server(row: Sequence[Any]) -> ServerRecord:
+    host, born_ms, share, rho, window, min_time, mark_left, failures, cold_age = row
     if not isinstance(host, str):
-        raise ValueError(f"host {host!r}")
+        raise ValueError(f"host has to be a string, got {host!r}")
     return ServerRecord(
         host,
-        _whole(born_ms, 0, 2**53),
-        _real(share, P_MIN, 1),
-        None if rho is None else _real(rho, 0, MAX_SAMPLE),
-        _real(window, MIN_WINDOW, WINDOW_MOST),
-        _real(base, 0, 600 * SECOND),
-        _whole(mark, 0, 60 * MAX_MARK),
-        min(_whole(fails, 0, 2**31), FAILS_MOST),
-        _whole(cold, 0, 2**63),
+        _check_integer(born_ms, 0, 2**53),
+        _check_number(share, P_MIN, 1),
+        None if rho is None else _check_number(rho, 0, MAX_SAMPLE),
+        _check_number(window, MIN_WINDOW, MAX_WINDOW),
+        _check_number(min_time, 0, 600 * SECOND),
+        _check_integer(mark_left, 0, 60 * MAX_MARK),
+        min(_check_integer(failures, 0, 2**31), MAX_FAILURES),
+        _check_integer(cold_age, 0, 2**63),
     )
 
 
-def _whole(value: Any, least: int, most: int) -> int:
-    if type(value) is not int or not least <= value <= most:  # a bool is none
-        raise ValueError(f"{value!r} is no whole number from {least} to {most}")
+def _check_integer(value: Any, minimum: int, maximum: int) -> int:
+    if type(value) is not int or not minimum <= value <= maximum:  # excludes bool, a subclass of int
+        raise ValueError(f"{value!r} is not an integer from {minimum} to {maximum}")
     return int(value)
 
 
-def _real(value: Any, least: float, most: float) -> float:
-    if type(value) not in (int, float) or not least <= value <= most:
-        raise ValueError(f"{value!r} is no number from {least} to {most}")
+def _check_number(value: Any, minimum: float, maximum: float) -> float:
+    if type(value) not in (int, float) or not minimum <= value <= maximum:
+        raise ValueError(f"{value!r} is not a number from {minimum} to {maximum}")
     return float(value)
--- a/wickstep/recovery/reconciliation.py
+++ b/wickstep/recovery/reconciliation.py
@@ -1,8 +1,8 @@
-"""On return: what becomes of each call that was live when the process before this one ended.
+"""Reconciliation after a restart: what becomes of each call that was live when the previous process ended.
 
-This file owns those decisions, their order and their pace. It must never do I/O or read a clock, never let a
-call be sent again, and never end one that its server may still be serving before the time that is stated.
-Times in microseconds of the host's clock; Unix milliseconds where a server's start is meant.
+This file owns those decisions, their order and their rate. It must never do I/O or read a clock, never let a
+call be sent again, and never end one that its server may still be serving before the configured time.
+Times in microseconds of the host's clock; Unix milliseconds for the start of a server.
 """
 
 from __future__ import annotations
@@ -15,96 +15,96 @@
 from wickstep.recovery.ledger import CallState, Phase
 
 SECOND = 1_000_000
-SAYS_S = 1.0  # after a connection is up a server has said what ended: it says so before anything else
-START_JITTER_S = 0.5  # two hundred that return together begin at drawn moments within this
-BURST_S = 0.1  # pace that may be saved up
-LOOK_MOST = 2000  # calls that are looked at in one go: the loop has others to serve
+CONFIRM_AFTER_S = 1.0  # a newly connected server reports first, and within this time, which calls have ended
+START_JITTER_S = 0.5  # 200 softswitches that restart together begin at random times within this
+BURST_S = 0.1  # depth of the token bucket, as time at the settle rate
+MAX_EXAMINED = 2000  # calls per step, as the loop has others to serve
 
 
 @dataclass(slots=True, frozen=True)
 class ServerView:
-    """A server as the list and the connections have it now."""
+    """A server as the pool list and the connections show it now."""
 
-    there: bool  # on the list, and not gone
+    is_present: bool  # on the list, and not gone
     born_ms: int = 0
-    linked_at: int | None = None  # since when a connection is up; None: none is
+    linked_at: int | None = None  # since when it is connected; None: it is not
 
 
 class Verdict(Enum):
-    CONFIRMED = "confirmed"  # it stands on
-    CUT = "cut"  # its server is gone: its caller is told, the server is not asked
-    RELEASED = "released"  # on both sides: it could not be confirmed in time
-    GIVEN_UP = "given up"  # an attempt whose end is not known: its server is told
-    SETTLED = "settled"  # nothing is owed to anybody
+    CONFIRMED = "confirmed"  # the call stands
+    CUT = "cut"  # its server is gone: the caller is notified, the server is not
+    RELEASED = "released"  # towards caller and server: the server did not confirm it in time
+    GIVEN_UP = "given up"  # an attempt with unknown result: released towards its server
+    SETTLED = "settled"  # nobody needs to be notified
 
 
 @dataclass(slots=True, frozen=True)
 class Step:
     call: int
-    known: CallState
+    state: CallState
     verdict: Verdict
 
 
 class Reconciler:
-    """All calls that were found. `drawn` in [0, 1) is this softswitch's phase among others that return."""
+    """All recovered calls. `jitter` in [0, 1) places this softswitch's start among others that restart."""
 
     def __init__(
-        self, found: Mapping[int, CallState], began: int, pace: float, confirm_us: int, drawn: float
+        self, calls: Mapping[int, CallState], started_at: int, rate: float, confirm_us: int, jitter: float
     ) -> None:
-        self._until = began + confirm_us
-        self._first = began + int(drawn * START_JITTER_S * SECOND)
-        self._pace = pace  # calls a second
-        self._credit, self._credit_at = 0.0, self._first
-        self._waiting = dict(found)  # in the order in which they are looked at next
-        self.verdicts = dict.fromkeys(Verdict, 0)
+        self._confirm_until = started_at + confirm_us
+        self._first_step_at = started_at + int(jitter * START_JITTER_S * SECOND)
+        self._rate = rate  # calls a second
+        self._tokens, self._refilled_at = 0.0, self._first_step_at
+        self._unsettled = dict(calls)  # in the order in which they are examined next
+        self.verdict_counts = dict.fromkeys(Verdict, 0)
 
     def __len__(self) -> int:
         """Calls that are not settled yet."""
-        return len(self._waiting)
+        return len(self._unsettled)
 
     def call_ended(self, call: int) -> None:
-        """Its end has been heard: nothing is left to be settled."""
-        self._waiting.pop(call, None)
+        """The end of the call was reported: it needs no verdict any more."""
+        self._unsettled.pop(call, None)
 
     def next_steps(self, views: Mapping[str, ServerView], now: int) -> list[Step]:
-        """What to do now; cuts first, since their callers hold dead calls."""
-        if now < self._first or not self._waiting:
+        """What to do now; cuts come first, since their callers hold dead calls."""
+        if now < self._first_step_at or not self._unsettled:
             return []
-        self._credit += self._pace * (now - self._credit_at) / SECOND
-        self._credit = min(self._credit, max(self._pace * BURST_S, 1.0))
-        self._credit_at = now
-        looked = [*islice(self._waiting.items(), LOOK_MOST)]
-        judged = [Step(call, known, v) for call, known in looked if (v := self._verdict(known, views, now))]
-        judged.sort(key=lambda step: step.verdict is not Verdict.CUT)
+        self._tokens += self._rate * (now - self._refilled_at) / SECOND
+        self._tokens = min(self._tokens, max(self._rate * BURST_S, 1.0))
+        self._refilled_at = now
+        examined = [*islice(self._unsettled.items(), MAX_EXAMINED)]
+        due = [Step(call, state, v) for call, state in examined if (v := self._decide(state, views, now))]
+        due.sort(key=lambda step: step.verdict is not Verdict.CUT)
         steps: list[Step] = []
-        for step in judged:
-            if step.verdict in (Verdict.CUT, Verdict.RELEASED, Verdict.GIVEN_UP):  # somebody is told
-                if self._credit < 1:
+        for step in due:
+            if step.verdict in (Verdict.CUT, Verdict.RELEASED, Verdict.GIVEN_UP):  # causes a message
+                if self._tokens < 1:
                     continue
-                self._credit -= 1
-            self.verdicts[step.verdict] += 1
+                self._tokens -= 1
+            self.verdict_counts[step.verdict] += 1
             steps.append(step)
-            del self._waiting[step.call]
-        for call, known in looked:
-            if self._waiting.pop(call, None) is not None:
-                self._waiting[call] = known  # behind those that were not looked at
+            del self._unsettled[step.call]
+        for call, state in examined:
+            if self._unsettled.pop(call, None) is not None:
+                self._unsettled[call] = state  # moves behind those that were not examined
         return steps
 
-    def _verdict(self, known: CallState, views: Mapping[str, ServerView], now: int) -> Verdict | None:
-        """None: not yet."""
-        view = views.get(known.host)
-        stands = known.phase is Phase.STANDS
-        if known.phase is Phase.ENDING:
-            return Verdict.CUT  # its caller may not have heard
-        if known.phase is Phase.TAKEN:
-            return Verdict.SETTLED  # never sent, or its attempt had ended: its caller's connection is gone
-        if view is None or not view.there or view.born_ms > known.born_ms:
+    def _decide(self, state: CallState, views: Mapping[str, ServerView], now: int) -> Verdict | None:
+        """None: not decided yet."""
+        view = views.get(state.host)
+        stands = state.phase is Phase.STANDS
+        if state.phase is Phase.ENDING:
+            return Verdict.CUT  # its caller may not have been notified
+        if state.phase is Phase.TAKEN:
+            return Verdict.SETTLED  # never sent, or its attempt had ended; its caller's connection is gone
+        if view is None or not view.is_present or view.born_ms > state.born_ms:
             return Verdict.CUT if stands else Verdict.SETTLED
         if view.linked_at is not None:
             if not stands:
                 return Verdict.GIVEN_UP
-            if now - view.linked_at >= SAYS_S * SECOND:
+            if now - view.linked_at >= CONFIRM_AFTER_S * SECOND:
                 return Verdict.CONFIRMED
-        if now >= self._until:
+        if now >= self._confirm_until:
             return Verdict.RELEASED if stands else Verdict.SETTLED
         return None
--- a/wickstep/recovery/store.py
+++ b/wickstep/recovery/store.py
@@ -1,7 +1,7 @@
-"""What was learned, kept in a folder over restarts: read before the first caller, written aside ever after.
+"""The file that keeps learned state over restarts: read before the first caller, then written in a thread.
 
 This file owns that file and the thread that writes it. It must never make the loop wait for a disk once calls
-are served, or be more than one log line where the folder is missing, full, spoilt or another's.
+are served, nor do more than log one line where the folder is missing, full, corrupt or another softswitch's.
 """
 
 from __future__ import annotations
@@ -23,19 +23,19 @@
 log = logging.getLogger(__name__)
 
 FILE_NAME, FILE_KIND = "learned", "stored"
-MAX_BYTES = 256 * 1024  # bytes
-LAST_S = 0.5  # what the last write may take at a stop
+MAX_BYTES = 256 * 1024
+FLUSH_TIMEOUT_S = 0.5  # how long a stop waits for the last write
 
 
 class LearnedStore:
-    """The file of one softswitch. All but `_run` is called by the loop."""
+    """The file of one softswitch. All methods but `_write_loop` are called by the loop."""
 
     def __init__(self, plan: RecoveryPlan, softswitch: str) -> None:
         self._plan, self._softswitch = plan, softswitch
         self._path = Path(plan.folder) / FILE_NAME
         self._latest: Any = None
-        self._wanted, self._idle = threading.Event(), threading.Event()
-        self._failed = False
+        self._write_requested, self._idle = threading.Event(), threading.Event()
+        self._has_failed = False
         self.write_count = 0
 
     @property
@@ -47,50 +47,50 @@
         return int(self._plan.interval_s * 1_000_000)
 
     def restore(self, controller: Controller, born_ms: Mapping[str, int], now: int) -> int:
-        """Give the controller what still counts, once it has its list; for how many servers. `now`: its time.
+        """Give a controller that has its list what still counts of the file; returns for how many servers.
 
-        Ages are told by the system's clock, which outlives a restart of the machine.
+        `now` is the controller's clock. Ages are computed with the system's clock, which outlives a reboot.
         """
         try:
             content = envelope.read(self._path, FILE_KIND, MAX_BYTES)
             if content is None:
                 return 0
             if content["softswitch"] != self._softswitch:
-                raise learned.InvalidState(f"it is {content['softswitch']!r}'s")
-            given = learned.restore(
+                raise learned.InvalidState(f"it belongs to softswitch {content['softswitch']!r}")
+            restored = learned.restore(
                 controller, learned.decode(content["learned"]), born_ms, now, time.time_ns()
             )
-        except (envelope.CorruptFile, learned.InvalidState, LookupError, TypeError) as trouble:
-            log.warning("a fresh start, %s is not used: %s", self._path, trouble)
+        except (envelope.CorruptFile, learned.InvalidState, LookupError, TypeError) as error:
+            log.warning("starting without learned state, %s is not used: %s", self._path, error)
             return 0
-        log.warning("starting with what was learned of %d servers", given)
-        return given
+        log.warning("starting with the learned state of %d servers", restored)
+        return restored
 
     def start(self) -> None:
-        links.start_thread(self._run)
+        links.start_thread(self._write_loop)
 
     def save_latest(self, controller: Controller, born_ms: Mapping[str, int], now: int) -> None:
-        """Have what the controller knows now written soon; only the latest counts."""
-        record = learned.take_snapshot(controller, born_ms, now, time.time_ns())
-        self._latest = {"softswitch": self._softswitch, "learned": learned.encode(record)}
+        """Request a write of the controller's present state; a pending older state is replaced."""
+        snapshot = learned.take_snapshot(controller, born_ms, now, time.time_ns())
+        self._latest = {"softswitch": self._softswitch, "learned": learned.encode(snapshot)}
         self._idle.clear()
-        self._wanted.set()
+        self._write_requested.set()
 
     def flush(self) -> None:
-        """Wait a moment for the last write: the process ends after this."""
-        self._idle.wait(LAST_S)
+        """Wait for the last write, FLUSH_TIMEOUT_S at most: the process ends after this."""
+        self._idle.wait(FLUSH_TIMEOUT_S)
 
-    def _run(self) -> None:
+    def _write_loop(self) -> None:
         while True:
-            self._wanted.wait()
-            self._wanted.clear()
+            self._write_requested.wait()
+            self._write_requested.clear()
             try:
                 envelope.write(self._path, FILE_KIND, self._latest)
                 self.write_count += 1
-                self._failed = False
-            except OSError as trouble:
-                if not self._failed:  # once, not every few seconds
-                    log.warning("what is learned is not kept: %s", trouble)
-                self._failed = True
-            if not self._wanted.is_set():
+                self._has_failed = False
+            except OSError as error:
+                if not self._has_failed:  # logged once, not at each interval
+                    log.warning("the learned state cannot be written: %s", error)
+                self._has_failed = True
+            if not self._write_requested.is_set():
                 self._idle.set()
