--- a/wickstep/net/codec.py
+++ b/wickstep/net/codec.py
@@ -1,8 +1,8 @@
-"""The binary protocol: bytes to message objects and back.
+"""The binary protocol: decodes bytes to message objects and encodes them back.
 
-This file owns every code, type number and parameter of the wire; none is named anywhere else. It must never
-touch a socket, keep state about a call or read a clock, and never raise anything but `MalformedMessage`
-on what a peer has sent.
+This file owns every code, type number and parameter on the wire; no other file names one. It must never touch
+a socket, keep state about a call or read a clock, and never raise anything but `MalformedMessage` on a peer's
+input.
 """
 
 from __future__ import annotations
@@ -27,25 +27,25 @@
     TestResult,
 )
 
-MAX_MESSAGE = 16 * 1024  # of a whole message, its length field included
-HEAD = struct.Struct(">HBQ")
-PARAMETER = struct.Struct(">BH")
-LENGTH_FIELD = 2
-LEAST = HEAD.size - LENGTH_FIELD
-TENANT_MOST = 255  # bytes of a tenant's name: it is kept as long as its call
-ADVICE_MOST = 2**31  # numbers of servers that a centre may advise lie below
-ADVICE_CHARACTERS = 16  # and are written with no more: Python would read thousands
-FIGURES_MOST = 64  # in one parameter: a message full of them would come to 25 times its size
+MAX_MESSAGE = 16 * 1024  # bytes of a whole message, its length field included
+HEAD = struct.Struct(">HBQ")  # length of what follows this field, message type, call
+PARAMETER = struct.Struct(">BH")  # code, length of the value
+LENGTH_FIELD_BYTES = 2
+MIN_LENGTH = HEAD.size - LENGTH_FIELD_BYTES  # of a message without parameters
+MAX_TENANT_BYTES = 255  # a tenant's name is kept as long as its call
+ADVISED_SERVER_LIMIT = 2**31  # a centre may advise servers of numbers below this
+MAX_ADVICE_CHARACTERS = 16  # of such a number: float() would accept thousands of digits
+MAX_FIGURES = 64  # in one parameter: a message full of them would take 25 times its size in memory
 
 
-class Kind(IntEnum):
-    """The type of a message."""
+class MessageType(IntEnum):
+    """The message type field of the head."""
 
     SET_UP = 1
     PROGRESS = 6
     ANSWER = 9
     RELEASE = 12
-    RELEASE_HEARD = 16
+    RELEASE_COMPLETE = 16
     GROUP_STATE = 43
     TEST = 52
     TEST_RESULT = 53
@@ -54,7 +54,7 @@
 P_CLASS, P_WAIT, P_TENANT, P_REPEAT, P_NUMBER, P_FIGURES = 64, 65, 66, 67, 68, 69
 P_STAY_AWAY, P_NOTE, P_REPORT, P_CAUSE, P_DESCRIPTION = 70, 71, 73, 78, 79
 
-CAUSES = {
+CAUSE_BY_REASON = {
     Reason.CLEARED: 16,
     Reason.BUSY: 17,
     Reason.FULL: 34,
@@ -68,12 +68,12 @@
     Reason.UNALLOCATED: 1,
     Reason.BARRED: 21,  # call rejected
 }
-REASONS = {cause: reason for reason, cause in CAUSES.items()}
-NOTES = {"no_circuit": Note.NO_CIRCUIT, "overload": Note.OVERLOAD, "lines_busy": Note.LINES_BUSY}
+REASON_BY_CAUSE = {cause: reason for reason, cause in CAUSE_BY_REASON.items()}
+NOTE_BY_NAME = {"no_circuit": Note.NO_CIRCUIT, "overload": Note.OVERLOAD, "lines_busy": Note.LINES_BUSY}
 
 
-class Binary:
-    """This protocol on one connection."""
+class BinaryCodec:
+    """The `WireCodec` of this protocol, one object per connection."""
 
     def __init__(self) -> None:
         self._splitter = Splitter()
@@ -87,175 +87,180 @@
         return encode(message)
 
     def bind(self, link: object) -> None:
-        pass  # all that is said here is said by the loop
+        pass  # this protocol sends nothing of its own: every message comes from the loop
 
 
 class Splitter:
-    """Cuts one connection's bytes into messages."""
+    """Splits one connection's byte stream into messages."""
 
     def __init__(self) -> None:
-        self._rest = bytearray()
-        self.size = 0  # bytes of the message yielded last
+        self._buffer = bytearray()
+        self.size = 0  # bytes of the message that feed() yielded last
 
     def begun(self) -> bool:
-        """Whether a part of a message is there."""
-        return bool(self._rest)
+        """Whether part of a message has been received."""
+        return bool(self._buffer)
 
     def feed(self, data: bytes) -> Iterator[Message]:
-        self._rest += data
-        while len(self._rest) >= LENGTH_FIELD:
-            length = int.from_bytes(self._rest[:LENGTH_FIELD], "big")
-            # The length is judged before the rest is awaited: a wrong one must not make us hold 64 KiB.
-            if not LEAST <= length <= MAX_MESSAGE - LENGTH_FIELD:
-                raise MalformedMessage(f"a message of length {length}")
-            end = LENGTH_FIELD + length
-            if len(self._rest) < end:
+        self._buffer += data
+        while len(self._buffer) >= LENGTH_FIELD_BYTES:
+            length = int.from_bytes(self._buffer[:LENGTH_FIELD_BYTES], "big")
+            # Checked before the rest has arrived: a wrong length must not make us buffer 64 KiB.
+            if not MIN_LENGTH <= length <= MAX_MESSAGE - LENGTH_FIELD_BYTES:
+                raise MalformedMessage(
+                    f"length field out of range: expected a message head to 16 KiB in all, got {length}"
+                )
+            end = LENGTH_FIELD_BYTES + length
+            if len(self._buffer) < end:
                 return
-            message = decode(bytes(self._rest[:end]))
-            del self._rest[:end]
+            message = decode(bytes(self._buffer[:end]))
+            del self._buffer[:end]
             self.size = end
-            yield message  # who is slow to take it holds no second copy here
+            yield message  # removed from the buffer before: a slow consumer must not keep a second copy here
 
 
 def decode(raw: bytes) -> Message:
-    """One whole message, its length field included."""
+    """Decode one whole message, its length field included."""
     _, kind, call = HEAD.unpack_from(raw)
-    values = _parameters(raw)
+    values = _read_parameters(raw)
     cause = values.get(P_CAUSE, b"")
     if len(cause) > 1:
-        raise MalformedMessage("a cause of more than one byte")
+        raise MalformedMessage("parameter cause: expected one byte, got more")
     match kind:
-        case Kind.SET_UP:
-            return _set_up(call, values)
-        case Kind.PROGRESS:
+        case MessageType.SET_UP:
+            return _read_set_up(call, values)
+        case MessageType.PROGRESS:
             return Progress(call)
-        case Kind.ANSWER:
+        case MessageType.ANSWER:
             if not values.get(P_DESCRIPTION):
-                raise MalformedMessage("an answer without a description")
+                raise MalformedMessage("answer lacks the parameter description")
             return Answer(call, values[P_DESCRIPTION])
-        case Kind.RELEASE:
+        case MessageType.RELEASE:
             if not cause:
-                raise MalformedMessage("a release without a cause")
+                raise MalformedMessage("release lacks the parameter cause")
             return Release(
                 call,
-                REASONS.get(cause[0], Reason.FAILED),
-                NOTES.get(_text(values, P_NOTE)),
-                _number(values, P_STAY_AWAY),
-                _report(values),
+                REASON_BY_CAUSE.get(cause[0], Reason.FAILED),
+                NOTE_BY_NAME.get(_read_text(values, P_NOTE)),
+                _read_number(values, P_STAY_AWAY),
+                _read_report(values),
             )
-        case Kind.RELEASE_HEARD:
+        case MessageType.RELEASE_COMPLETE:
             return ReleaseComplete(call)
-        case Kind.TEST:
+        case MessageType.TEST:
             return Test(call, cause == b"\x01")
-        case Kind.TEST_RESULT:
-            return TestResult(call, cause == b"\x01", _report(values))
-        case Kind.GROUP_STATE:
-            return GroupState(call, _report(values))
-    raise MalformedMessage(f"a message of type {kind}")
+        case MessageType.TEST_RESULT:
+            return TestResult(call, cause == b"\x01", _read_report(values))
+        case MessageType.GROUP_STATE:
+            return GroupState(call, _read_report(values))
+    raise MalformedMessage(f"unknown message type {kind}")
 
 
-def _parameters(raw: bytes) -> dict[int, bytes]:
+def _read_parameters(raw: bytes) -> dict[int, bytes]:
     values: dict[int, bytes] = {}
     position, end = HEAD.size, len(raw)
     while position < end:
         if position + PARAMETER.size > end:
-            raise MalformedMessage("a parameter is cut off")
+            raise MalformedMessage("message ends within the head of a parameter")
         code, length = PARAMETER.unpack_from(raw, position)
         position += PARAMETER.size
         if position + length > end:
-            raise MalformedMessage(f"parameter {code} is cut off")
+            raise MalformedMessage(f"parameter {code} is longer than the rest of its message")
         values[code] = raw[position : position + length]
         position += length
     return values
 
 
-def _text(values: dict[int, bytes], code: int) -> str:
+def _read_text(values: dict[int, bytes], code: int) -> str:
     try:
         return values.get(code, b"").decode()
-    except UnicodeDecodeError as trouble:
-        raise MalformedMessage(f"parameter {code} is not text") from trouble
+    except UnicodeDecodeError as exc:
+        raise MalformedMessage(f"parameter {code}: expected UTF-8 text") from exc
 
 
-def _number(values: dict[int, bytes], code: int, absent: int = 0) -> int:
-    text = _text(values, code)
+def _read_number(values: dict[int, bytes], code: int, default: int = 0) -> int:
+    text = _read_text(values, code)
     if not text:
-        return absent
-    # At most ten digits: Python would read thousands, at quadratic cost.
+        return default
+    # At most ten digits: int() would accept thousands, at quadratic cost.
     if not (text.isascii() and text.isdecimal() and len(text) <= 10):
-        raise MalformedMessage(f"parameter {code} is not a number")
+        raise MalformedMessage(f"parameter {code}: expected a decimal number of at most ten digits")
     return int(text)
 
 
-def _pairs(values: dict[int, bytes], code: int) -> list[bytes]:
-    pairs = values.get(code, b"").split(b";", FIGURES_MOST)
-    if len(pairs) > FIGURES_MOST:
-        raise MalformedMessage(f"parameter {code} holds too many figures")
+def _split_pairs(values: dict[int, bytes], code: int) -> list[bytes]:
+    pairs = values.get(code, b"").split(b";", MAX_FIGURES)
+    if len(pairs) > MAX_FIGURES:
+        raise MalformedMessage(f"parameter {code}: too many figures")
     return pairs
 
 
-def _figures(pairs: Iterable[bytes], code: int) -> dict[str, float]:
-    """`name:value;name:value`; a value may be left open as `-`."""
+def _read_figures(pairs: Iterable[bytes], code: int) -> dict[str, float]:
+    """Parse `name:value;name:value`; figures with an empty value or `-` are left out."""
     figures: dict[str, float] = {}
     for raw in filter(None, pairs):
         try:
             pair = raw.decode()
-        except UnicodeDecodeError as trouble:
-            raise MalformedMessage(f"parameter {code} is not text") from trouble
+        except UnicodeDecodeError as exc:
+            raise MalformedMessage(f"parameter {code}: expected UTF-8 text") from exc
         name, colon, value = pair.partition(":")
         if not colon:
-            raise MalformedMessage(f"parameter {code} holds a figure without a value")
+            raise MalformedMessage(f"parameter {code}: expected name:value, got a figure without a colon")
         if value in ("", "-"):
             continue
         try:
             figures[name] = float(value)
-        except ValueError as trouble:
-            raise MalformedMessage(f"parameter {code} holds a figure that is no number") from trouble
+        except ValueError as exc:
+            raise MalformedMessage(f"parameter {code}: a figure's value is not a number") from exc
     return figures
 
 
-def _report(values: dict[int, bytes]) -> Report:
-    return _figures(_pairs(values, P_REPORT), P_REPORT)
+def _read_report(values: dict[int, bytes]) -> Report:
+    return _read_figures(_split_pairs(values, P_REPORT), P_REPORT)
 
 
-def _tenant(raw: bytes) -> str | None:
-    """A tenant's name; empty: none is given, None: it makes no sense."""
+def _read_tenant(raw: bytes) -> str | None:
+    """A tenant's name; empty: none is given, None: too long or not UTF-8."""
     try:
-        return raw.decode() if len(raw) <= TENANT_MOST else None
+        return raw.decode() if len(raw) <= MAX_TENANT_BYTES else None
     except UnicodeDecodeError:
         return None
 
 
-def _advice(pair: bytes) -> int | None:
-    """The server that a centre advises; -1: none, None: it makes no sense."""
+def _read_advised_server(pair: bytes) -> int | None:
+    """Number of the server that a centre advises; -1: none, None: not a valid number."""
     value = pair.partition(b":")[2]
     if value in (b"", b"-") and pair != b"via":
         return -1
     try:
-        number = float(value) if len(value) <= ADVICE_CHARACTERS else -2.0
+        number = float(value) if len(value) <= MAX_ADVICE_CHARACTERS else -2.0
     except ValueError:
         return None
-    return int(number) if number.is_integer() and -1 <= number < ADVICE_MOST else None
+    return int(number) if number.is_integer() and -1 <= number < ADVISED_SERVER_LIMIT else None
 
 
-def _set_up(call: int, values: dict[int, bytes]) -> SetUp:
-    pairs = _pairs(values, P_FIGURES)
-    # A centre's advice and a tenant's name are hints: one that makes no sense costs its call nothing.
-    told = [pair for pair in pairs if pair.partition(b":")[0] == b"via"]
-    hints = (_tenant(values.get(P_TENANT, b"")), _advice(told[-1]) if told else -1)
-    others = (pair for pair in pairs if pair not in told)
-    figures = {"dest": -1.0, "width": 1.0, "again": 0.0, **_figures(others, P_FIGURES)}
-    # `inf` and `nan` are no whole numbers.
+def _read_set_up(call: int, values: dict[int, bytes]) -> SetUp:
+    pairs = _split_pairs(values, P_FIGURES)
+    # A centre's advice and a tenant's name are hints: an invalid one is ignored, and the call goes on.
+    advice_pairs = [pair for pair in pairs if pair.partition(b":")[0] == b"via"]
+    hints = (
+        _read_tenant(values.get(P_TENANT, b"")),
+        _read_advised_server(advice_pairs[-1]) if advice_pairs else -1,
+    )
+    other_pairs = (pair for pair in pairs if pair not in advice_pairs)
+    figures = {"dest": -1.0, "width": 1.0, "again": 0.0, **_read_figures(other_pairs, P_FIGURES)}
+    # is_integer() is false for inf and nan too.
     if not all(figures[name].is_integer() for name in ("dest", "width", "again")):
-        raise MalformedMessage("a figure is no whole number")
+        raise MalformedMessage("set-up: expected whole numbers for the figures dest, width and again")
     return SetUp(
         call=call,
-        klass=_text(values, P_CLASS),
-        wait_ms=_number(values, P_WAIT),
-        number=_text(values, P_NUMBER),
+        klass=_read_text(values, P_CLASS),
+        wait_ms=_read_number(values, P_WAIT),
+        number=_read_text(values, P_NUMBER),
         description=values.get(P_DESCRIPTION, b""),
         first_choice=int(figures["dest"]),
         width=int(figures["width"]),
-        repeat=_text(values, P_REPEAT) == "1",
+        repeat=_read_text(values, P_REPEAT) == "1",
         after_cut=figures["again"] == 1.0,
         tenant=hints[0] or "",
         advised_server=-1 if hints[1] is None else hints[1],
@@ -264,11 +269,11 @@
 
 
 def encode(message: Message) -> bytes:
-    """The bytes of one message; only what belongs to its receiver goes out."""
+    """Encode one message, without the fields that do not concern its receiver."""
     values: list[tuple[int, bytes]] = []
     match message:
         case SetUp():
-            kind = Kind.SET_UP
+            kind = MessageType.SET_UP
             values = [
                 (P_CLASS, message.klass.encode()),
                 (P_WAIT, b"%d" % message.wait_ms),
@@ -283,37 +288,37 @@
             if message.first_choice >= 0 or message.advised_server >= 0:
                 values.append((P_FIGURES, figures.encode()))
         case Progress():
-            kind = Kind.PROGRESS
+            kind = MessageType.PROGRESS
         case Answer():
-            kind = Kind.ANSWER
+            kind = MessageType.ANSWER
             values = [(P_DESCRIPTION, message.description)]
         case Release():
-            kind = Kind.RELEASE
-            values = [(P_CAUSE, bytes([CAUSES[message.reason]]))]
+            kind = MessageType.RELEASE
+            values = [(P_CAUSE, bytes([CAUSE_BY_REASON[message.reason]]))]
             if message.stay_away_ms:
                 values.append((P_STAY_AWAY, b"%d" % message.stay_away_ms))
             if message.note:
                 values.append((P_NOTE, message.note.value.encode()))
-            values += _report_out(message.report)
+            values += _encode_report(message.report)
         case ReleaseComplete():
-            kind = Kind.RELEASE_HEARD
+            kind = MessageType.RELEASE_COMPLETE
         case Test():
-            kind = Kind.TEST
+            kind = MessageType.TEST
             values = [(P_CAUSE, bytes([message.probe]))]
         case TestResult():
-            kind = Kind.TEST_RESULT
-            values = [(P_CAUSE, bytes([message.passed])), *_report_out(message.report)]
+            kind = MessageType.TEST_RESULT
+            values = [(P_CAUSE, bytes([message.passed])), *_encode_report(message.report)]
         case GroupState():
-            kind = Kind.GROUP_STATE
-            values = _report_out(message.report)
-    # An empty value is left out: what goes on is never longer than what came, so it always fits.
+            kind = MessageType.GROUP_STATE
+            values = _encode_report(message.report)
+    # Empty values are left out: so a forwarded message is never longer than the received one, and fits.
     body = b"".join(PARAMETER.pack(code, len(value)) + value for code, value in values if value)
-    whole = HEAD.pack(LEAST + len(body), kind, message.call) + body if len(body) < MAX_MESSAGE else b""
-    if not whole or len(whole) > MAX_MESSAGE:
-        raise MalformedMessage("a message over 16 KiB")
-    return whole
+    encoded = HEAD.pack(MIN_LENGTH + len(body), kind, message.call) + body if len(body) < MAX_MESSAGE else b""
+    if not encoded or len(encoded) > MAX_MESSAGE:
+        raise MalformedMessage("cannot encode a message of more than 16 KiB")
+    return encoded
 
 
-def _report_out(report: Report) -> list[tuple[int, bytes]]:
+def _encode_report(report: Report) -> list[tuple[int, bytes]]:
     text = ";".join(f"{name}:{value:g}" for name, value in report.items())
     return [(P_REPORT, text.encode())] if text else []
--- a/wickstep/net/links.py
+++ b/wickstep/net/links.py
@@ -1,9 +1,10 @@
-"""Connections and their threads: a reader for each caller's, one for all servers', one that accepts.
+"""Connections and their threads: a reader per caller's connection, one for all servers, one that accepts.
 
-This file owns the sockets. Readers parse and enqueue, connects run aside. What the loop says is written at
-once as far as the socket takes it; where a peer does not read, a writer of its own drains a bounded outbox
-until all is out. It must never decide anything about a call, and nothing here that the loop calls may ever
-block: a peer that is silent costs a thread at most, one that does not read another, and nothing else.
+This file owns the sockets. Readers parse messages and put them into the loop's inbox; connects run in
+threads of their own. What the loop sends is written at once as far as the socket takes it; where a peer does
+not read, a writer thread drains a bounded outbox until it is empty. This file must never decide anything
+about a call, and nothing here that the loop calls may block: a silent peer costs at most one thread, a peer
+that does not read one more, and nothing else.
 """
 
 from __future__ import annotations
@@ -26,75 +27,77 @@
 
 log = logging.getLogger(__name__)
 
-TIMEVAL = struct.Struct("@ll")
-THREAD_STACK = 128 * 1024  # a thread or two a connection, hundreds of connections
-THREAD_S = 5.0  # a machine that has no thread left for a new one may have one soon
-OUTBOX_MOST = 256 * 1024  # bytes; a server that leaves so much unread is not reading
-CALLER_OUTBOX_MOST = 64 * 1024  # the same for a caller: hundreds of them must fit the memory
-SEND_BUFFER = 16 * 1024
-MAX_SHARES_AHEAD = 8  # shares of one connection's messages that may wait for the loop
-SHARE = codec.MAX_MESSAGE // MAX_SHARES_AHEAD  # bytes: so eight small messages wait, or one of 16 KiB
-READ_SIZE = 16 * 1024
-CALLER_READ_SIZE = 4 * 1024  # of a caller: each of hundreds that push holds one while its reader waits
-BACKLOG = 256
-BIND_S = 3.0
-FIRST_BYTE_TIMEOUT_MS = 2000  # a caller that has sent nothing by then is closed: hundreds never speak
-MESSAGE_TIMEOUT_MS = 2200  # and so is one whose message, once begun, is not whole by then: some take 2 s
-FIRST_MESSAGE_TIMEOUT_MS = 2700  # after the connect: by then the first one has to be whole, whenever begun
-TURN_MS = 20  # how soon a thread at a shared socket sees that it has been told to leave
-LOOK_MS = 50  # how soon the common reader sees a new connection
-ANSWER_MS = 200  # the same for a server: what follows would be taken for the message's rest
+TIMEVAL = struct.Struct("@ll")  # seconds and microseconds, as SO_RCVTIMEO and SO_SNDTIMEO take them
+THREAD_STACK = 128 * 1024  # bytes; small, since hundreds of connections have one or two threads each
+THREAD_START_TIMEOUT_S = 5.0  # a machine at its limit on threads may have one free soon
+MAX_OUTBOX_BYTES = 256 * 1024  # a server that leaves so much unread is not reading
+MAX_CALLER_OUTBOX_BYTES = 64 * 1024  # less for a caller: hundreds of outboxes must fit in memory
+SEND_BUFFER_BYTES = 16 * 1024
+MAX_SHARES_AHEAD = 8  # one connection's limit on messages that wait for the loop, in shares of SHARE_BYTES
+SHARE_BYTES = codec.MAX_MESSAGE // MAX_SHARES_AHEAD  # so eight small messages may wait, or one of 16 KiB
+READ_SIZE = 16 * 1024  # bytes of one receive
+CALLER_READ_SIZE = 4 * 1024  # less for a caller: hundreds may hold a full read while their readers wait
+LISTEN_BACKLOG = 256
+BIND_TIMEOUT_S = 3.0  # how long an address that is still in use is tried again
+FIRST_BYTE_TIMEOUT_MS = 2000  # for a caller's first byte after the connect: hundreds never send any
+MESSAGE_TIMEOUT_MS = 2200  # for a caller's message from its first byte to its last: some callers take 2 s
+FIRST_MESSAGE_TIMEOUT_MS = 2700  # from the connect to the end of the first message, whenever it began
+ACCEPT_POLL_MS = 20  # poll of an inherited listening socket: its thread sees a close within this time
+READER_POLL_MS = 50  # poll of the common reader: it sees a new connection within this time
+# For a server's message from first byte to last: after one that was cut short, the bytes of the next message
+# would be taken for its rest.
+SERVER_MESSAGE_TIMEOUT_MS = 200
 
 
 def parse_address(text: str) -> tuple[str, int]:
     host, _, port = text.rpartition(":")
-    if not 0 <= int(port) <= 65535:  # connect() would raise what no OSError is
-        raise ValueError(f"port {port}")
+    if not 0 <= int(port) <= 65535:  # connect() would raise OverflowError, which is not an OSError
+        raise ValueError(f"port out of range: expected 0 to 65535, got {port}")
     return host, int(port)
 
 
-def start_thread(target: Callable[[], None], timeout_s: float = THREAD_S) -> None:
-    """Start a thread, within `timeout_s` seconds; RuntimeError if the machine has none by then.
+def start_thread(target: Callable[[], None], timeout_s: float = THREAD_START_TIMEOUT_S) -> None:
+    """Start a thread, trying again for `timeout_s` seconds; RuntimeError if none is free by then.
 
-    Many softswitches may share a machine and its limit on threads, and all of them start together.
+    Many softswitches may share a machine and its limit on threads, and may all start at the same time.
     """
-    until = time.monotonic() + timeout_s
+    deadline = time.monotonic() + timeout_s
     while True:
         try:
             return threading.Thread(target=target, daemon=True).start()
-        except RuntimeError as trouble:
-            if time.monotonic() >= until:
+        except RuntimeError as exc:
+            if time.monotonic() >= deadline:
                 raise
-            log.warning("no thread left: %s", trouble)
+            log.warning("cannot start a thread, trying again: %s", exc)
             time.sleep(0.05)
 
 
-def bind_socket(where: str) -> socket.socket:
-    """A socket at that address, to listen on; OSError if it is still another's after `BIND_S`."""
+def bind_socket(address: str) -> socket.socket:
+    """A socket bound to that address; OSError if the address is still in use after `BIND_TIMEOUT_S`."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    # After a kill and a quick restart the predecessor's socket may be there for a moment still.
-    until = time.monotonic() + BIND_S
+    # After a kill and a quick restart the previous process's socket may exist for a moment longer.
+    deadline = time.monotonic() + BIND_TIMEOUT_S
     while True:
         try:
-            sock.bind(parse_address(where))
+            sock.bind(parse_address(address))
             return sock
-        except OSError as trouble:
-            if trouble.errno != errno.EADDRINUSE or time.monotonic() > until:
+        except OSError as exc:
+            if exc.errno != errno.EADDRINUSE or time.monotonic() > deadline:
                 sock.close()
                 raise
             time.sleep(0.02)
 
 
-# What the threads tell the loop.
+# Events that the threads put into the loop's inbox.
 
 
 @dataclass(slots=True, frozen=True)
 class Received:
     link: Link
     message: Message
-    shares: int = 1  # of what its connection may have waiting for the loop
-    at: int = 0  # microseconds of the monotonic clock: when it was whole
+    shares: int = 1  # how many of its connection's MAX_SHARES_AHEAD it holds until it is processed
+    at: int = 0  # when the message was complete, in microseconds of the monotonic clock
 
 
 @dataclass(slots=True, frozen=True)
@@ -114,154 +117,158 @@
     refused: bool
 
 
-Inbox = SimpleQueue[Any]  # its put may be called in a signal handler, which queue.Queue's may not
+Inbox = SimpleQueue[Any]  # put() may be called in a signal handler; that of queue.Queue may not
 
 
 class WireCodec(Protocol):
-    """The protocol of one connection: its reader feeds it, the loop has it encode. Neither may wait in it."""
+    """The protocol of one connection: the reader feeds it, the loop encodes with it. No method may block."""
 
     @property
     def size(self) -> int:
-        """Bytes of the message that was yielded last."""
+        """Bytes of the message that `feed` yielded last."""
 
     def begun(self) -> bool:
-        """Whether a part of a message is there."""
+        """Whether part of a message has been received."""
 
     def feed(self, data: bytes) -> Iterator[Message]:
-        """What is whole now; raises MalformedMessage, after which nothing on it can be trusted."""
+        """Messages that are complete now. After MalformedMessage no further input can be trusted."""
 
     def encode(self, message: Message) -> bytes:
-        """What a message is on the wire; empty if there is nothing to say."""
+        """The bytes of a message on the wire; empty if the protocol sends nothing for it."""
 
     def bind(self, link: Link) -> None:
-        """The connection: what the protocol itself has to answer is written there."""
+        """Set the connection to which the protocol writes answers of its own."""
 
 
 class Link:
-    """One connection. Made for a socket that is connected; `owner` means whatever the loop wants it to."""
+    """One connection, made for a connected socket; the loop alone gives `owner` a meaning."""
 
     def __init__(
         self, sock: socket.socket, inbox: Inbox, owner: Any, wire_codec: WireCodec | None = None
     ) -> None:
         self.owner = owner
-        self.wire_codec: WireCodec = wire_codec or codec.Binary()
-        self.peer_id = ""  # who connects, where a protocol tells: what stands with one is not another's
+        self.wire_codec: WireCodec = wire_codec or codec.BinaryCodec()
+        self.peer_id = ""  # the peer's identity, where the protocol has one: keeps peers' calls apart
         self.sock = sock
-        self.on_freed: Callable[[], None] = lambda: None  # called when the descriptor is free
-        self.whole_ms = ANSWER_MS  # how long a message may take from its first byte
-        self.outbox_most = OUTBOX_MOST
-        self.chunk = READ_SIZE
-        self.had_call = False  # the loop's: a call that came on it has stood
-        self.first_whole_at = 0  # when the first message must be whole, in milliseconds; 0: as any other
-        self.first_ms = 0  # how long the peer may be silent at first; 0: for ever
-        self.is_closing = False  # the loop's: told to close; what still comes is not taken in
+        self.on_freed: Callable[[], None] = lambda: None  # called once the descriptor is closed
+        self.message_timeout_ms = SERVER_MESSAGE_TIMEOUT_MS  # from a message's first byte to its last
+        self.outbox_most = MAX_OUTBOX_BYTES
+        self.read_size = READ_SIZE
+        self.had_call = False  # set by the loop: a call that came on it was answered
+        self.first_message_deadline_ms = 0  # on the monotonic clock; 0: as for any other message
+        self.first_byte_timeout_ms = 0  # silence allowed before the first byte; 0: no limit
+        self.is_closing = False  # set by the loop: told to close, further input is not taken in
         self.inbox = inbox
-        self.heard_at = 0  # the loop's: when the last message was dealt with
-        self.has_spoken = False  # the loop's: whether there was one
-        self.probed_at = 0  # the loop's: when a probe last went out here
-        self.has_answered = False  # the loop's: whether a set-up or a probe was answered here
-        self.closed = False  # the loop's word for it; the threads notice by their socket
-        self.calls: dict[int, Any] = {}  # the loop's: what waits for an answer here
-        self.unconfirmed: dict[int, Release] = {}  # the loop's: releases sent here and not yet confirmed
-        self.withdrawn: set[int] = set()  # calls whose release was read and not yet dealt with
-        self.shared = False  # read by the common reader
-        self._complete_by = 0  # in milliseconds, when what has begun must be whole; 0: nothing has
-        self._ahead = threading.Semaphore(MAX_SHARES_AHEAD)
-        self._in_hand = False  # a caller's reader has bytes that are not counted yet
-        self._received = self._processed = 0  # messages: the reader's count and the loop's
-        self._outbox: deque[tuple[int, bytes]] = deque()  # with the call of a whole set-up, else 0
-        self._waiting = 0
-        self._lock = threading.RLock()  # over the outbox and what follows
-        self._writing = False  # a writer is at work
-        self._last = False  # nothing may be added, what is there is still written
-        self._keep_reading = False  # though told to end, until the peer ends too
-        self._waits = 0
-        self._users = 1  # threads that still use the socket
+        self.heard_at = 0  # set by the loop: when it processed the last message
+        self.has_spoken = False  # set by the loop: whether there was a message
+        self.probed_at = 0  # set by the loop: when it last sent a probe here
+        self.has_answered = False  # set by the loop: whether a set-up or a probe was answered here
+        self.closed = False  # set by the loop; the threads see a close by their socket
+        self.calls: dict[int, Any] = {}  # of the loop: calls that wait for an answer here
+        self.unconfirmed: dict[int, Release] = {}  # of the loop: releases sent here, not yet confirmed
+        self.withdrawn: set[int] = set()  # calls whose release was read but not yet processed
+        self.uses_common_reader = False  # read by the common reader
+        self._complete_by = 0  # milliseconds, deadline of the message that has begun; 0: none has
+        self._free_shares = threading.Semaphore(MAX_SHARES_AHEAD)
+        self._has_uncounted_data = False  # the reader holds bytes whose messages are not in _received yet
+        self._received = self._processed = 0  # messages counted by the reader and by the loop
+        self._outbox: deque[tuple[int, bytes]] = deque()  # call id of a whole set-up, else 0; data
+        self._outbox_bytes = 0
+        self._lock = threading.RLock()  # guards the outbox and the fields below
+        self._has_writer = False  # a writer thread is running
+        self._output_closed = False  # nothing may be added; what is queued is still written
+        self._keep_reading = False  # after our side has ended, until the peer ends too
+        self._receive_timeout_ms = 0  # as the socket has it now
+        self._thread_count = 1  # threads that use the socket
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        # What the kernel holds for a peer that does not read is bounded like the outbox.
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER)
+        # Bounds what the kernel holds for a peer that does not read, as the outbox is bounded.
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
         sock.settimeout(None)
         self.wire_codec.bind(self)
 
-    def start(self, patience: float = 0.0) -> None:
-        """Start the reader; raises RuntimeError if the machine has no thread left."""
-        start_thread(self.read, patience)
+    def start(self, timeout_s: float = 0.0) -> None:
+        """Start the reader; RuntimeError if the machine has no thread free within `timeout_s` seconds."""
+        start_thread(self.read, timeout_s)
 
     def send(self, message: Message) -> bool:
-        """Write a message, or queue it; False on a closing connection or where the peer does not read."""
+        """Write or queue a message; False if the connection is closing or its outbox is full."""
         return self.write(self.wire_codec.encode(message), message.call if isinstance(message, SetUp) else 0)
 
     def write(self, data: bytes, set_up: int = 0) -> bool:
-        """The same for bytes, those of the set-up of that call."""
+        """The same for bytes; `set_up` is the call's id if they are a whole set-up."""
         with self._lock:
-            if self._last:
+            if self._output_closed:
                 return False
             if not data:
                 return True
-            if not self._writing:
+            if not self._has_writer:
                 try:
                     if sent := self.sock.send(data, socket.MSG_DONTWAIT):
                         data, set_up = data[sent:], 0
                 except BlockingIOError:
-                    pass  # the peer does not read: a writer waits for it
+                    pass  # the peer does not read: a writer thread waits for it
                 except OSError:
-                    self.close()  # what was out here has gone with it, and the reader says so
-                if not data or self._last:
+                    self.close()  # the reader reports the end, which ends the attempts on this connection
+                if not data or self._output_closed:
                     return True
-            if self._waiting + len(data) <= self.outbox_most and self._write_aside():
+            if self._outbox_bytes + len(data) <= self.outbox_most and self._ensure_writer():
                 self._outbox.append((set_up, data))
-                self._waiting += len(data)
+                self._outbox_bytes += len(data)
                 return True
         self.close()
         return False
 
-    def _write_aside(self) -> bool:
-        """See to a writer; it takes the lock first, and finds what the caller adds under it."""
-        if not self._writing:
+    def _ensure_writer(self) -> bool:
+        """Start a writer if there is none; False if there is no thread for it.
+
+        The caller holds the lock, and the writer takes it first: so it finds what the caller adds.
+        """
+        if not self._has_writer:
             try:
-                threading.Thread(target=self._write, daemon=True).start()
-            except RuntimeError as trouble:
-                log.warning("no thread for a writer: %s", trouble)
+                threading.Thread(target=self._run_writer, daemon=True).start()
+            except RuntimeError as exc:
+                log.warning("cannot start a writer thread, closing its connection: %s", exc)
                 return False
-            self._writing = True
-            self._users += 1
+            self._has_writer = True
+            self._thread_count += 1
         return True
 
     def withdraw(self, call: int) -> bool:
-        """Take a set-up back that waits for the peer to read; False if its first byte may have left."""
+        """Remove a set-up from the outbox; False if its first byte may have been sent."""
         with self._lock:
             for entry in self._outbox if call else ():
                 if entry[0] == call:
                     self._outbox.remove(entry)
-                    self._waiting -= len(entry[1])
+                    self._outbox_bytes -= len(entry[1])
                     return True
         return False
 
     def mark_processed(self, shares: int) -> None:
-        """The loop has dealt with one message: the reader may go on."""
+        """The loop has processed one message: its shares are free for the reader again."""
         self._processed += 1
         if shares:
-            self._ahead.release(shares)
+            self._free_shares.release(shares)
 
     def has_unread(self) -> bool:
-        """Whether the peer has sent what the loop has not dealt with, or begun to; never blocks."""
+        """Whether the peer has sent or begun a message that the loop has not processed; never blocks."""
         return self._complete_by > 0 or self.has_pending()
 
     def has_pending(self) -> bool:
-        """The same but for a message that has begun and is not whole, as far as it was read.
+        """The same, without the part of an incomplete message that was read already.
 
-        Looked for along the way that it takes, so that it cannot pass unseen from one place to the next.
+        The places are checked in the order in which data passes them (socket, reader, inbox), so that data
+        which moves on meanwhile is not missed.
         """
-        with contextlib.suppress(OSError):  # nothing there, or no connection any more
+        with contextlib.suppress(OSError):  # nothing to read, or not connected any more
             if self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT):
                 return True
-        return self._in_hand or self._received != self._processed
+        return self._has_uncounted_data or self._received != self._processed
 
     def has_left(self, call: int) -> bool:
-        """Whether the peer has closed, or has given this call up, as far as that has arrived; never blocks.
+        """Whether the peer has closed, or has released this call, as far as that has arrived; never blocks.
 
-        The loop hears so in its turn. Behind a burst that may be long after, and a set-up must not go out for
-        who has left. Asked of the socket itself, since an end behind unread bytes is not read yet.
+        The loop learns that from its inbox, which after a burst may be much later, but must not send a set-up
+        for a caller that has left. The socket is polled, since an end behind unread bytes is not read yet.
         """
         if call in self.withdrawn:
             return True
@@ -269,179 +276,189 @@
         try:
             poll.register(self.sock, select.POLLRDHUP)
         except (OSError, ValueError):
-            return True  # freed: the reader has come to its end
+            return True  # closed: the reader has ended
         return bool(poll.poll(0))
 
     def close(self, keep_reading: bool = False) -> None:
-        """Close at once; the threads come back and the reader says so.
+        """Close at once; the threads end, and the reader reports the end to the loop.
 
-        With `keep_reading` only our side ends: what the peer writes until it notices is still read, to its
-        end or to a plain close. Whoever asks for that sees to the latter.
+        With `keep_reading` only our side ends: what the peer writes until it notices is still read, until the
+        peer ends or `close` is called without it. The caller of this method has to see to that second call.
         """
         with self._lock:
-            self._last, self._keep_reading = True, keep_reading
+            self._output_closed, self._keep_reading = True, keep_reading
             self._outbox.clear()
-        self._shut()
+        self._shut_down()
 
     def finish(self, keep_reading: bool = False) -> None:
-        """Nothing more will be said; what is queued is still written."""
+        """Close once the outbox is written; nothing more may be sent."""
         with self._lock:
-            self._last, self._keep_reading = True, keep_reading
-            if self._writing:
-                return  # the writer closes after the last word
-        self._shut()
+            self._output_closed, self._keep_reading = True, keep_reading
+            if self._has_writer:
+                return  # the writer closes once the outbox is empty
+        self._shut_down()
 
-    def _shut(self) -> None:
+    def _shut_down(self) -> None:
         with contextlib.suppress(OSError):
-            # Shut for reading too, the kernel answers what comes from then on with a reset.
+            # With SHUT_RDWR the kernel answers later input with a reset.
             self.sock.shutdown(socket.SHUT_WR if self._keep_reading else socket.SHUT_RDWR)
 
     def is_drained(self) -> bool:
-        return self._waiting == 0
+        return self._outbox_bytes == 0
 
     def read(self) -> None:
-        """The reader, to the connection's end."""
+        """Read to the connection's end: the body of a caller's reader thread."""
         malformed = False
         try:
-            self._patience(self.first_ms)
+            self._set_receive_timeout(self.first_byte_timeout_ms)
             while self.sock.recv(1, socket.MSG_PEEK):
-                self._in_hand = True  # before it leaves the socket, where the loop could still see it
-                self._patience(self._digest(self.sock.recv(self.chunk)))
-                self._in_hand = False
+                # Set before the data leaves the socket, so that has_pending() sees one of the two.
+                self._has_uncounted_data = True
+                self._set_receive_timeout(self._process_data(self.sock.recv(self.read_size)))
+                self._has_uncounted_data = False
         except BlockingIOError:
             malformed = self._complete_by > 0
-            log.info("closing a connection: %s", "a message stops short" if malformed else "never spoke")
-        except MalformedMessage as trouble:
-            log.warning("closing a connection: %s", trouble)
+            log.info(
+                "closing a caller's connection: %s",
+                "message not complete within its time-out"
+                if malformed
+                else "nothing received since the connect within the time-out",
+            )
+        except MalformedMessage as exc:
+            log.warning("closing a caller's connection: %s", exc)
             malformed = True
         except OSError:
             pass  # reset: the same as closed
-        self._end(malformed)
+        self._end_connection(malformed)
 
     def read_available(self) -> bool:
-        """What the common reader does where there is something; False once the connection has ended."""
+        """Read once for the common reader, after a poll; False once the connection has ended."""
         malformed = False
         try:
-            if data := self.sock.recv(self.chunk, socket.MSG_DONTWAIT):
-                self._digest(data)
+            if data := self.sock.recv(self.read_size, socket.MSG_DONTWAIT):
+                self._process_data(data)
                 return True
         except BlockingIOError:
             return True
-        except MalformedMessage as trouble:
-            log.warning("closing a connection: %s", trouble)
+        except MalformedMessage as exc:
+            log.warning("closing a server's connection: %s", exc)
             malformed = True
         except OSError:
             pass
-        self._end(malformed)
+        self._end_connection(malformed)
         return False
 
-    def stops_short(self) -> bool:
-        """Whether a message has begun and is not whole in time. Ends the connection then."""
+    def close_if_overdue(self) -> bool:
+        """End the connection if a message has begun and is not complete in time; whether it did so."""
         if not 0 < self._complete_by <= time.monotonic_ns() // 1_000_000:
             return False
-        log.warning("closing a connection: a message stops short")
-        self._end(True)
+        log.warning("closing a server's connection: message not complete within its time-out")
+        self._end_connection(True)
         return True
 
-    def full(self) -> bool:
-        """Whether so much waits for the loop that nothing more may be read."""
+    def is_backlogged(self) -> bool:
+        """Whether so many messages wait for the loop that no more may be read."""
         return self._received - self._processed >= MAX_SHARES_AHEAD
 
-    def _digest(self, data: bytes) -> int:
-        """Hand on what is whole; for how long the rest may take to come, in milliseconds, 0: for ever."""
-        whole = False
+    def _process_data(self, data: bytes) -> int:
+        """Enqueue complete messages; returns the receive time-out for the rest in milliseconds, 0: none."""
+        any_complete = False
         for message in self.wire_codec.feed(data):
-            whole = True
-            self._hand_on(message, self.wire_codec.size)
-            del message  # or it would be held here until the peer's next word
+            any_complete = True
+            self._enqueue(message, self.wire_codec.size)
+            del message  # else it would be kept in memory until the peer's next message
         now = time.monotonic_ns() // 1_000_000
         if not self.wire_codec.begun():
             self._complete_by = 0
-        elif whole or not self._complete_by:
-            self._complete_by = now + self.whole_ms
-            if self.first_whole_at and not self._received:
-                self._complete_by = self.first_whole_at
+        elif any_complete or not self._complete_by:
+            self._complete_by = now + self.message_timeout_ms
+            if self.first_message_deadline_ms and not self._received:
+                self._complete_by = self.first_message_deadline_ms
         elif now >= self._complete_by:
-            raise MalformedMessage("a message that does not end")
+            raise MalformedMessage("message not complete within its time-out, though more of it came")
         return max(self._complete_by - now, 1) if self._complete_by else 0
 
-    def _end(self, malformed: bool) -> None:
+    def _end_connection(self, malformed: bool) -> None:
         self.close()
-        self._leave()
+        self._release_socket()
         self.inbox.put(Closed(self, malformed))
 
-    def _hand_on(self, message: Message, size: int) -> None:
-        """Give the loop a message, once this connection has room for it among those that wait.
+    def _enqueue(self, message: Message, size: int) -> None:
+        """Put a message into the inbox, once enough of this connection's shares are free.
 
-        Room is counted in bytes: hundreds of connections that push messages of 16 KiB, eight of each waiting,
-        would fill the memory of a small machine. The common reader never waits: it looks for room first.
+        Shares go by bytes: hundreds of connections with eight messages of 16 KiB waiting each would fill the
+        memory of a small machine. The common reader never waits: it checks `is_backlogged` before it reads.
         """
-        at = time.monotonic_ns() // 1000
-        shares = 0 if self.shared else min(1 + size // SHARE, MAX_SHARES_AHEAD)
-        if isinstance(message, Release) and not self.shared:
+        received_at = time.monotonic_ns() // 1000
+        shares = 0 if self.uses_common_reader else min(1 + size // SHARE_BYTES, MAX_SHARES_AHEAD)
+        if isinstance(message, Release) and not self.uses_common_reader:
             self.withdrawn.add(message.call)
         for _ in range(shares):
-            self._ahead.acquire()
+            self._free_shares.acquire()
         self._received += 1
-        self.inbox.put(Received(self, message, shares, at))
+        self.inbox.put(Received(self, message, shares, received_at))
 
-    def _patience(self, ms: int) -> None:
-        """How long the next `recv` may take; the writer's `sendall` is not concerned."""
-        if ms != self._waits:
-            self._waits = ms
-            span = TIMEVAL.pack(*divmod(ms * 1000, 10**6))
-            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, span)
+    def _set_receive_timeout(self, ms: int) -> None:
+        """Limit how long the next `recv` may take; the writer's `sendall` is not affected."""
+        if ms != self._receive_timeout_ms:
+            self._receive_timeout_ms = ms
+            timeval = TIMEVAL.pack(*divmod(ms * 1000, 10**6))
+            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, timeval)
 
-    def _write(self) -> None:
-        """A writer, until the outbox is empty."""
+    def _run_writer(self) -> None:
+        """Write until the outbox is empty: the body of a writer thread."""
         while True:
             with self._lock:
                 if not self._outbox:
-                    self._writing = False
+                    self._has_writer = False
                     break
-                _, data = self._outbox.popleft()  # one by one: what has not begun can be withdrawn
+                _, data = self._outbox.popleft()  # one at a time: what is still queued can be withdrawn
             try:
                 self.sock.sendall(data)
             except OSError:
                 self.close(self._keep_reading)  # clears the outbox too
             with self._lock:
-                self._waiting -= len(data)
-        if self._last:
-            self._shut()
-        self._leave()
-
-    def _leave(self) -> None:
-        # The descriptor is freed by the last of the two: freed earlier, its number may be another's.
+                self._outbox_bytes -= len(data)
+        if self._output_closed:
+            self._shut_down()
+        self._release_socket()
+
+    def _release_socket(self) -> None:
+        # The last thread to end closes the descriptor: closed earlier, its number could be reused for another
+        # connection while the other thread still uses it.
         with self._lock:
-            self._users -= 1
-            last = self._users == 0
+            self._thread_count -= 1
+            last = self._thread_count == 0
         if last:
             self.sock.close()
             self.on_freed()
 
 
 class Listener:
-    """Accepts callers on one address while there is room, which several may share; others wait."""
+    """Accepts callers' connections on one address while `capacity` has a permit; others wait.
+
+    Several listeners may share that semaphore.
+    """
 
     def __init__(
         self,
-        where: str,
+        address: str,
         inbox: Inbox,
-        room: threading.Semaphore,
-        speaks: Callable[[], WireCodec] = codec.Binary,
+        capacity: threading.Semaphore,
+        make_codec: Callable[[], WireCodec] = codec.BinaryCodec,
         inherited_fd: int | None = None,
     ) -> None:
-        self._inbox, self._room, self._speaks = inbox, room, speaks
-        self._shared = inherited_fd is not None
+        self._inbox, self._capacity, self._make_codec = inbox, capacity, make_codec
+        self._is_inherited = inherited_fd is not None
         self._closed = False
         if inherited_fd is None:
-            self._sock = bind_socket(where)
+            self._sock = bind_socket(address)
         else:
-            # Others accept on it too, before and after this process: who was told that a connection waits may
-            # find it gone, and must not be held by that until the next.
+            # Other processes accept on this socket too, before and after this one: a connection that poll()
+            # has reported may be gone, and a blocking accept() would then wait for the next one.
             self._sock = socket.socket(fileno=inherited_fd)
             self._sock.setblocking(False)
-        self._sock.listen(BACKLOG)
+        self._sock.listen(LISTEN_BACKLOG)
 
     @property
     def address(self) -> tuple[str, int]:
@@ -449,83 +466,83 @@
         return name
 
     def start(self) -> None:
-        start_thread(self._accept)
+        start_thread(self._run)
 
     def close(self) -> None:
-        """Accept nothing more: at once, or on a shared socket within `TURN_MS`, when its thread closes it."""
+        """Accept nothing more: at once, or within `ACCEPT_POLL_MS` if the socket is inherited."""
         self._closed = True
-        if not self._shared:
+        if not self._is_inherited:
             with contextlib.suppress(OSError):
                 self._sock.shutdown(socket.SHUT_RDWR)
             self._sock.close()
 
-    def _next(self) -> socket.socket | None:
-        """A new connection. None: closed meanwhile, and what waits at a shared socket is its others'."""
-        if self._shared:
+    def _accept_next(self) -> socket.socket | None:
+        """A new connection; None once closed, if the socket is inherited: other processes accept the rest."""
+        if self._is_inherited:
             poll = select.poll()
             poll.register(self._sock, select.POLLIN)
             while not self._closed:
-                if poll.poll(TURN_MS) and not self._closed:
+                if poll.poll(ACCEPT_POLL_MS) and not self._closed:
                     with contextlib.suppress(BlockingIOError):
                         return self._sock.accept()[0]
             self._sock.close()
             return None
         return self._sock.accept()[0]
 
-    def _accept(self) -> None:
+    def _run(self) -> None:
         while True:
-            self._room.acquire()
+            self._capacity.acquire()
             try:
-                sock = self._next()
-            except OSError as trouble:
-                self._room.release()
+                sock = self._accept_next()
+            except OSError as exc:
+                self._capacity.release()
                 if self._closed:
                     return
-                # Out of descriptors or aborted by the peer: neither may end the accepting for good.
-                log.warning("accept: %s", trouble)
+                # Out of descriptors, or aborted by the peer: neither may end this thread.
+                log.warning("cannot accept a caller's connection, trying again: %s", exc)
                 time.sleep(0.02)
                 continue
             if sock is None:
                 return
             sock.setblocking(True)
             try:
-                link = Link(sock, self._inbox, None, self._speaks())
+                link = Link(sock, self._inbox, None, self._make_codec())
             except OSError:
-                sock.close()  # gone already
-                self._room.release()
+                sock.close()  # the peer has closed already
+                self._capacity.release()
                 continue
-            link.on_freed = self._room.release
-            link.whole_ms, link.first_ms = MESSAGE_TIMEOUT_MS, FIRST_BYTE_TIMEOUT_MS
-            link.first_whole_at = time.monotonic_ns() // 1_000_000 + FIRST_MESSAGE_TIMEOUT_MS
-            link.outbox_most, link.chunk = CALLER_OUTBOX_MOST, CALLER_READ_SIZE
+            link.on_freed = self._capacity.release
+            link.message_timeout_ms, link.first_byte_timeout_ms = MESSAGE_TIMEOUT_MS, FIRST_BYTE_TIMEOUT_MS
+            link.first_message_deadline_ms = time.monotonic_ns() // 1_000_000 + FIRST_MESSAGE_TIMEOUT_MS
+            link.outbox_most, link.read_size = MAX_CALLER_OUTBOX_BYTES, CALLER_READ_SIZE
             self._inbox.put(Opened(link))
             try:
-                link.start(patience=1.0)  # its set-up would be lost with it
-            except RuntimeError as trouble:
-                log.warning("no thread for a caller's connection: %s", trouble)
+                link.start(timeout_s=1.0)  # waits for a thread: the caller's set-up would be lost otherwise
+            except RuntimeError as exc:
+                log.warning("cannot start a reader thread, closing a caller's connection: %s", exc)
                 sock.close()
-                self._room.release()
+                self._capacity.release()
                 self._inbox.put(Closed(link))
 
 
 class Reader:
-    """One thread that reads all connections to servers.
+    """The common reader: one thread that reads all connections to servers.
 
-    A thread each is what a machine that holds hundreds of softswitches does not have: with two dozen servers
-    a thousand of them come to 32,565 threads, where 32,768 may be. None of these reads can block, since they
-    follow a poll, and a connection of which much waits for the loop is left alone until it is dealt with.
+    A machine that runs hundreds of softswitches has no thread for each connection: with two dozen servers, a
+    thousand softswitches would need 32,565 threads of the 32,768 allowed. No read here blocks, since each
+    follows a poll; a connection with many messages waiting for the loop is read once they are processed.
     """
 
     def __init__(self) -> None:
         self._links: list[Link] = []
-        self._lock = threading.Lock()  # over that list
+        self._lock = threading.Lock()  # guards that list
 
     def start(self) -> None:
         start_thread(self._run)
 
     def add(self, link: Link) -> None:
-        """From now on, or within `LOOK_MS`: a peer of many connections is waited for that long anyway."""
-        link.shared = True
+        """Read this connection too; the thread sees it once its poll ends, after `READER_POLL_MS` at most."""
+        link.uses_common_reader = True
         with self._lock:
             self._links.append(link)
 
@@ -533,30 +550,37 @@
         while True:
             with self._lock:
                 links = [*self._links]
-            by_descriptor = {link.sock.fileno(): link for link in links if not link.full()}
+            by_descriptor = {link.sock.fileno(): link for link in links if not link.is_backlogged()}
             poll = select.poll()
             for descriptor in by_descriptor:
                 poll.register(descriptor, select.POLLIN)
             ended = [
-                by_descriptor[at] for at, _ in poll.poll(LOOK_MS) if not by_descriptor[at].read_available()
+                by_descriptor[fd]
+                for fd, _ in poll.poll(READER_POLL_MS)
+                if not by_descriptor[fd].read_available()
             ]
-            ended += [link for link in links if link not in ended and link.stops_short()]
+            ended += [link for link in links if link not in ended and link.close_if_overdue()]
             if ended:
                 with self._lock:
                     self._links = [link for link in self._links if link not in ended]
 
 
 def dial(
-    where: str, timeout_us: int, inbox: Inbox, owner: Any, reader: Reader, wire_codec: WireCodec | None = None
+    address: str,
+    timeout_us: int,
+    inbox: Inbox,
+    owner: Any,
+    reader: Reader,
+    wire_codec: WireCodec | None = None,
 ) -> None:
-    """Connect aside. The loop is told `Opened` or `DialFailed`."""
+    """Connect in a thread of its own, which puts `Opened` or `DialFailed` into the inbox."""
 
     def connect() -> None:
         try:
-            sock = socket.create_connection(parse_address(where), timeout=timeout_us / 1e6)
+            sock = socket.create_connection(parse_address(address), timeout=timeout_us / 1e6)
             link = Link(sock, inbox, owner, wire_codec)
-        except Exception as trouble:  # whatever it was, the loop must hear of it, or it waits for ever
-            inbox.put(DialFailed(owner, isinstance(trouble, ConnectionRefusedError)))
+        except Exception as exc:  # on any error the loop must be told, or it waits for ever
+            inbox.put(DialFailed(owner, isinstance(exc, ConnectionRefusedError)))
             return
         inbox.put(Opened(link))
         reader.add(link)
