--- a/wickstep/net/bulletin.py
+++ b/wickstep/net/bulletin.py
@@ -1,8 +1,8 @@
-"""The bulletin client: a thread that follows the numbered changes of the list of setup servers.
+"""The bulletin's client: a thread that follows the numbered changes of the pool list of setup servers.
 
-This file owns the HTTP/1.1 of the bulletin and the reading of its events. It must never judge a server or
-skip an event that can be read: what it has read goes to the loop in order, and a bulletin that is silent,
-slow or talks nonsense costs this thread only, which must outlive it.
+This file owns the HTTP/1.1 long polling of the bulletin and the parsing of its events. It must never judge a
+server or skip an event that can be parsed: events go to the loop in order. A bulletin that is silent, slow or
+sends invalid data affects this thread only, and must never end it.
 """
 
 from __future__ import annotations
@@ -25,84 +25,85 @@
 
 log = logging.getLogger(__name__)
 
-GRACE_S = 1.0  # what the answer may take on top of that
-PAUSE_S = 0.1  # after a failure
-ANSWER_MOST = 4 * 1024 * 1024
+ANSWER_GRACE_S = 1.0  # what an answer may take beyond the time that the bulletin may hold the request
+RETRY_DELAY_S = 0.1  # after a failed request
+MAX_ANSWER_BYTES = 4 * 1024 * 1024
 STATES = {"Ready": ServerState.ACTIVE, "Terminating": ServerState.DRAINING, "Gone": ServerState.GONE}
 
 
 class BadResponse(ValueError):
-    """What came from the bulletin cannot be read."""
+    """The bulletin's answer is not valid, or is not to be used."""
 
 
 @dataclass(slots=True, frozen=True)
 class ListedServer:
-    """One line of the list."""
+    """One line of the pool list."""
 
     host: str
     address: str
     number: int
     state: ServerState
-    born_ms: int  # Unix time of a late start; 0: long ago
+    born_ms: int  # Unix time of the start of a server that started late; 0: long ago
 
 
 @dataclass(slots=True, frozen=True)
 class ListUpdate:
-    """One event of the bulletin."""
+    """One event of the bulletin: changes of the pool list, or the complete list."""
 
     number: int
     is_complete: bool
     listed_servers: tuple[ListedServer, ...]
 
 
-UNREADABLE = (LookupError, TypeError, ValueError, AttributeError, ArithmeticError)  # 1e999 is JSON
+# ArithmeticError: 1e999 is valid JSON, and int() of it raises OverflowError.
+PARSE_ERRORS = (LookupError, TypeError, ValueError, AttributeError, ArithmeticError)
 
 
 def read_events(answer: Any) -> tuple[int, list[ListUpdate]]:
-    """The last number and the events of `known` or of an answer.
+    """The last event number and the events of an answer, or of the configuration's `known`.
 
-    An event or a line that cannot be read is passed over, loudly: asked for again it would come again, and
-    all that follows, a server that drains among it, would never be heard.
+    An event or a line that cannot be parsed is logged and skipped: requested again it would come again, and
+    nothing after it, such as the drain of a server, would ever be processed.
     """
     try:
         last, items = int(answer["no"]), list(answer["items"])
-    except UNREADABLE as trouble:
-        raise BadResponse(f"no list of events: {trouble!r}") from trouble
+    except PARSE_ERRORS as exc:
+        raise BadResponse(f"expected a number and a list of events from the bulletin: {exc!r}") from exc
     events = []
     for item in items:
         try:
             roster = item.get("roster")
             if roster is not None:  # else an event of another kind
-                hosts = _readable(roster["hosts"])
-                # Of a whole list with a hole in it, nobody is gone for not being on it.
-                whole = bool(roster.get("whole")) and len(hosts) == len(roster["hosts"])
-                events.append(ListUpdate(int(item["no"]), whole, hosts))
-        except UNREADABLE as trouble:
-            log.error("an event is passed over: %r", trouble)
+                hosts = _read_lines(roster["hosts"])
+                # Where lines were skipped, a server that is not on the list need not be gone.
+                is_complete = bool(roster.get("whole")) and len(hosts) == len(roster["hosts"])
+                events.append(ListUpdate(int(item["no"]), is_complete, hosts))
+        except PARSE_ERRORS as exc:
+            log.error("skipping an event of the bulletin that cannot be parsed: %r", exc)
     return last, events
 
 
-def missing_after(answer: Any, after: int) -> int:
-    """How many of the events after that number an answer lacks, up to the last that it speaks of."""
+def count_missing(answer: Any, after: int) -> int:
+    """How many events after that number are missing from an answer, up to its last event number."""
     numbers = set()
     for item in answer["items"]:
-        with contextlib.suppress(*UNREADABLE):
+        with contextlib.suppress(*PARSE_ERRORS):
             numbers.add(int(item["no"]))
     last = int(answer["no"])
     return max(last - after, 0) - sum(after < number <= last for number in numbers)
 
 
-def _readable(lines: Any) -> tuple[ListedServer, ...]:
+def _read_lines(lines: Any) -> tuple[ListedServer, ...]:
     found = []
     for line in lines:
         try:
-            found.append(_listed(line))
-        except UNREADABLE as trouble:
-            log.error("a line of the list is passed over: %r in %r", trouble, line)
+            found.append(_read_line(line))
+        except PARSE_ERRORS as exc:
+            log.error("skipping a line of the pool list that cannot be parsed: %r in %r", exc, line)
     return tuple(found)
 
 
-def _listed(line: Any) -> ListedServer:
+def _read_line(line: Any) -> ListedServer:
     return ListedServer(
         host=str(line["host"]),
         address=str(line["dial"]),
@@ -113,164 +114,166 @@
 
 
 class Client:
-    """Calls the bulletin again and again and hands each event on."""
+    """Polls the bulletin and hands each event to `on_update`."""
 
     def __init__(
         self,
-        where: str,
+        address: str,
         after: int,
-        hand_on: Callable[[ListUpdate], None],
+        on_update: Callable[[ListUpdate], None],
         random: Random | None = None,
         grace_s: float = 0.0,
     ) -> None:
-        """Follow `where` from the number `after`; `grace_s` as the settings have it for servers that go."""
-        self._where, self._after, self._hand_on = where, after, hand_on
+        """Follow `address` from event number `after`; a draining server may be sent to for `grace_s`."""
+        self._address, self._after, self._on_update = address, after, on_update
         self._random, self._grace_s = random or Random(), grace_s
-        self._held_ms = 0  # by the call that is out
-        self._gap = (0, 0, 0)  # the last answer that jumped: after which number, to which, over how many
+        self._hold_ms = 0  # how long the bulletin may hold the current request
+        self._last_gap = (0, 0, 0)  # last answer with missing events: after which number, to which, how many
         self._sock: socket.socket | None = None
-        self._to = ""  # where that leads
-        self._rest = b""
-        # over where to call and the socket, which `change_address` reaches into
+        self._connected_to = ""  # the address of that socket
+        self._buffer = b""
+        # Guards the address and the socket, which `change_address` uses from the loop's thread.
         self._lock = threading.Lock()
-        self._moved = threading.Event()
+        self._address_changed = threading.Event()
 
     def start(self) -> None:
         links.start_thread(self._follow)
 
-    def change_address(self, where: str) -> None:
-        """Follow the bulletin at another address, from the number that was reached.
+    def change_address(self, address: str) -> None:
+        """Follow the bulletin at another address, from the event number that was reached; never blocks.
 
-        The thread may be in the middle of a call that will never be answered: it is woken, since what the new
-        address has to tell counts as told soon after. Never blocks.
+        The thread may wait for an answer that will never come: it is woken, since events at the new address
+        are expected to take effect soon after the change.
         """
         with self._lock:
-            self._where, sock = where, self._sock
-            self._moved.set()
+            self._address, sock = address, self._sock
+            self._address_changed.set()
             if sock is not None:
                 with contextlib.suppress(OSError):
                     sock.shutdown(socket.SHUT_RDWR)
 
     def _follow(self) -> None:
-        # A fleet that comes back together must not call together, nor in step from then on.
-        self._moved.wait(jitter.draw_list_delay_s(self._random, self._after > 0, self._grace_s))
+        # Softswitches that start together must not poll together, neither now nor from then on.
+        self._address_changed.wait(jitter.draw_list_delay_s(self._random, self._after > 0, self._grace_s))
         while True:
             try:
                 self.poll_once()
-            except Exception as trouble:  # without this thread no drain would be heard of ever again
-                log.warning("bulletin: %r", trouble)
-                self._hang_up()
-                self._moved.wait(PAUSE_S)  # a new address is called at once
-                self._moved.clear()
+            except Exception as exc:  # if this thread ended, no drain would be heard of any more
+                log.warning("polling the bulletin failed: %r", exc)
+                self._disconnect()
+                self._address_changed.wait(RETRY_DELAY_S)  # a new address is polled at once
+                self._address_changed.clear()
 
     def poll_once(self) -> None:
-        """One call; what it brought is handed on, which must not wait."""
-        self._held_ms = jitter.draw_list_hold_ms(self._random)
-        answer = self._get(f"/bulletins?after={self._after}&patience={self._held_ms}")
+        """One request; its events go to `on_update`, which must not block."""
+        self._hold_ms = jitter.draw_list_hold_ms(self._random)
+        answer = self._get(f"/bulletins?after={self._after}&patience={self._hold_ms}")
         last, events = read_events(answer)
-        gap = (self._after, last, missing_after(answer, self._after))
-        if gap[2] and gap != self._gap:
-            # A drain may be among them: asked for again. What is missing twice is not there to be had.
-            self._gap = gap
-            raise BadResponse(f"{gap[2]} events after {self._after} are missing")
-        with self._lock:  # against `change_address`, after which the old address has nothing to say any more
-            if self._to != self._where:
-                raise BadResponse("moved while this was on its way")
+        gap = (self._after, last, count_missing(answer, self._after))
+        if gap[2] and gap != self._last_gap:
+            # Requested again, since a drain may be among them. Events missing twice are not available.
+            self._last_gap = gap
+            raise BadResponse(f"answer of the bulletin lacks {gap[2]} events after number {self._after}")
+        with self._lock:  # against `change_address`, after which no answer of the old address counts
+            if self._connected_to != self._address:
+                raise BadResponse("answer from an old address: the bulletin's address was changed meanwhile")
             for event in sorted(events, key=lambda event: event.number):
                 if event.number > self._after:
-                    self._hand_on(event)
+                    self._on_update(event)
                     self._after = event.number
             self._after = max(self._after, last)
 
-    def _hang_up(self) -> None:
+    def _disconnect(self) -> None:
         with self._lock:
-            sock, self._sock, self._rest = self._sock, None, b""
+            sock, self._sock, self._buffer = self._sock, None, b""
         if sock is not None:
             with contextlib.suppress(OSError):
                 sock.close()
 
     def _connect(self) -> socket.socket:
-        """The connection to where the bulletin is now."""
-        where = self._where
-        if self._sock is not None and self._to == where:
+        """The connection to the bulletin's current address."""
+        address = self._address
+        if self._sock is not None and self._connected_to == address:
             return self._sock
-        self._hang_up()
-        sock = socket.create_connection(links.parse_address(where), timeout=GRACE_S)
+        self._disconnect()
+        sock = socket.create_connection(links.parse_address(address), timeout=ANSWER_GRACE_S)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         with self._lock:
-            self._sock, self._to = sock, where
-            if where != self._where:
-                raise BadResponse("moved while connecting")
+            self._sock, self._connected_to = sock, address
+            if address != self._address:
+                raise BadResponse("bulletin's address was changed while connecting to the old one")
         return sock
 
     def _get(self, path: str) -> Any:
         sock = self._connect()
-        # One clock for the whole answer: a bulletin that drips a byte now and then must not hold us for ever.
-        until = time.monotonic() + self._held_ms / 1000 + GRACE_S
-        request = f"GET {path} HTTP/1.1\r\nHost: {self._to}\r\nAccept: application/json\r\n\r\n"
+        # One deadline for the whole answer: a bulletin that sends single bytes must not block us for ever.
+        deadline = time.monotonic() + self._hold_ms / 1000 + ANSWER_GRACE_S
+        request = f"GET {path} HTTP/1.1\r\nHost: {self._connected_to}\r\nAccept: application/json\r\n\r\n"
         sock.sendall(request.encode())
-        head = self._until(b"\r\n\r\n", until).decode("latin-1").split("\r\n")
+        head = self._read_until(b"\r\n\r\n", deadline).decode("latin-1").split("\r\n")
         status = head[0].split(" ", 2)
         if len(status) < 2 or not status[0].startswith("HTTP/1.") or status[1] != "200":
-            raise BadResponse(f"status line {head[0]!r}")
+            raise BadResponse(f"expected HTTP/1 and status 200 from the bulletin, got {head[0]!r}")
         fields = {
             name.strip().lower(): value.strip()
             for name, _, value in (line.partition(":") for line in head[1:] if line)
         }
         if "chunked" in fields.get("transfer-encoding", "").lower():
-            body = self._chunks(until)
+            body = self._read_chunks(deadline)
         else:
-            body = self._exactly(self._size(fields.get("content-length", ""), 10), until)
+            body = self._read_exactly(self._parse_size(fields.get("content-length", ""), 10), deadline)
         if fields.get("connection", "").lower() == "close" or status[0] == "HTTP/1.0":
-            self._hang_up()
+            self._disconnect()
         try:
             return ujson.loads(body)
-        except ValueError as trouble:
-            raise BadResponse("the body is not JSON") from trouble
+        except ValueError as exc:
+            raise BadResponse("expected JSON in the body of the bulletin's answer") from exc
 
-    def _size(self, text: str, base: int) -> int:
+    def _parse_size(self, text: str, base: int) -> int:
         try:
             size = int(text, base)
-        except ValueError as trouble:
-            raise BadResponse(f"length {text!r}") from trouble
-        if not 0 <= size <= ANSWER_MOST:
-            raise BadResponse(f"length {size}")
+        except ValueError as exc:
+            raise BadResponse(f"expected a body or chunk length from the bulletin, got {text!r}") from exc
+        if not 0 <= size <= MAX_ANSWER_BYTES:
+            raise BadResponse(f"expected a length of at most 4 MiB from the bulletin, got {size}")
         return size
 
-    def _chunks(self, until: float) -> bytes:
+    def _read_chunks(self, deadline: float) -> bytes:
         body = b""
         while True:
-            size = self._size(self._until(b"\r\n", until).decode("latin-1").split(";")[0].strip(), 16)
+            size = self._parse_size(
+                self._read_until(b"\r\n", deadline).decode("latin-1").split(";")[0].strip(), 16
+            )
             if size == 0:
-                while self._until(b"\r\n", until):
+                while self._read_until(b"\r\n", deadline):
                     pass  # trailers
                 return body
-            body += self._exactly(size, until)
-            if self._exactly(2, until) != b"\r\n" or len(body) > ANSWER_MOST:
-                raise BadResponse("a chunk does not end where it should")
-
-    def _until(self, mark: bytes, until: float) -> bytes:
-        while mark not in self._rest:
-            if len(self._rest) > links.READ_SIZE:
-                raise BadResponse("a head without end")
-            self._more(until)
-        found, _, self._rest = self._rest.partition(mark)
+            body += self._read_exactly(size, deadline)
+            if self._read_exactly(2, deadline) != b"\r\n" or len(body) > MAX_ANSWER_BYTES:
+                raise BadResponse("chunk of the bulletin lacks its line end, or the chunks exceed 4 MiB")
+
+    def _read_until(self, delimiter: bytes, deadline: float) -> bytes:
+        while delimiter not in self._buffer:
+            if len(self._buffer) > links.READ_SIZE:
+                raise BadResponse("no end of a head or line within 16 KiB of the bulletin's answer")
+            self._receive(deadline)
+        found, _, self._buffer = self._buffer.partition(delimiter)
         return found
 
-    def _exactly(self, size: int, until: float) -> bytes:
-        while len(self._rest) < size:
-            self._more(until)
-        found, self._rest = self._rest[:size], self._rest[size:]
+    def _read_exactly(self, size: int, deadline: float) -> bytes:
+        while len(self._buffer) < size:
+            self._receive(deadline)
+        found, self._buffer = self._buffer[:size], self._buffer[size:]
         return found
 
-    def _more(self, until: float) -> None:
+    def _receive(self, deadline: float) -> None:
         if self._sock is None:
-            raise BadResponse("hung up")
-        left = until - time.monotonic()
-        if left <= 0:
-            raise BadResponse("no whole answer in time")
-        self._sock.settimeout(left)
+            raise BadResponse("not connected to the bulletin")
+        timeout_s = deadline - time.monotonic()
+        if timeout_s <= 0:
+            raise BadResponse("answer of the bulletin not complete in time")
+        self._sock.settimeout(timeout_s)
         data = self._sock.recv(links.READ_SIZE)
         if not data:
-            raise BadResponse("closed by the bulletin")
-        self._rest += data
+            raise BadResponse("connection to the bulletin ended before its answer was complete")
+        self._buffer += data
