--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,6 +1,6 @@
-"""Two events that cross, forced by order: the loop, a dial or an answer is held until the other is there.
+"""Races of two events, forced into one order: the loop, a dial or an answer waits until the other has come.
 
-What has arrived is told by the kernel or by a queue's length, never by a wait that is hoped to be enough.
+Whether it has come is read from the kernel or from a queue's length; no test relies on a sleep.
 """
 
 from __future__ import annotations
@@ -46,71 +46,71 @@
 
 __all__ = ["one", "rig"]  # fixtures
 
-CLOSED, CLOSE_WAIT = 7, 8  # what TCP_INFO calls a connection that was reset, and one whose peer has closed
+CLOSED, CLOSE_WAIT = 7, 8  # TCP_INFO states: the connection was reset; its peer has closed
 
 
 class PausedLoop:
-    """Holds the loop between two of the things it deals with; `then` is done by it before it goes on."""
+    """Pauses the loop between two inbox items; the loop's thread runs `action` before it goes on."""
 
-    def __init__(self, rig: Rig, then: Callable[[], None] = lambda: None) -> None:
+    def __init__(self, rig: Rig, action: Callable[[], None] = lambda: None) -> None:
         assert rig.switch is not None
-        self.switch, self.then = rig.switch, then
-        self.here, self.go = threading.Event(), threading.Event()
+        self.switch, self.action = rig.switch, action
+        self.is_paused, self.resume = threading.Event(), threading.Event()
 
     def __enter__(self) -> PausedLoop:
-        real = self.switch.dispatch
+        original = self.switch.dispatch
 
-        def deal(item: Any) -> None:
+        def intercept(item: Any) -> None:
             if item is not self:
-                return real(item)
-            self.here.set()
-            assert self.go.wait(TIMEOUT_S)
-            self.then()
+                return original(item)
+            self.is_paused.set()
+            assert self.resume.wait(TIMEOUT_S)
+            self.action()
 
-        setattr(self.switch, "dispatch", deal)  # noqa: B010
+        setattr(self.switch, "dispatch", intercept)  # noqa: B010
         self.switch.shared.inbox.put(self)
-        assert self.here.wait(TIMEOUT_S)
+        assert self.is_paused.wait(TIMEOUT_S)
         return self
 
     def __exit__(self, *_: object) -> None:
-        self.go.set()
+        self.resume.set()
 
-    def waiting(self, count: int) -> None:
-        """Wait until so much waits for the loop."""
+    def wait_for_inbox(self, count: int) -> None:
+        """Wait until at least `count` items are in the inbox."""
         wait_for(lambda: self.switch.shared.inbox.qsize() >= count)
 
 
-def link_of(rig: Rig, caller: Peer) -> links.Link:
-    """The softswitch's end of a caller's connection, once the loop knows it."""
+def find_link(rig: Rig, caller: Peer) -> links.Link:
+    """The softswitch's end of a caller's connection, once the loop has answered on it."""
     assert rig.switch is not None
     caller.say(Test(1))
     caller.hear(TestResult, 1)
-    here = caller.sock.getsockname()
-    return next(link for link in [*rig.switch.shared.caller_links] if link.sock.getpeername() == here)
+    address = caller.sock.getsockname()
+    return next(link for link in [*rig.switch.shared.caller_links] if link.sock.getpeername() == address)
 
 
-def reached(link: links.Link, state: int) -> None:
-    """Wait until the kernel has the peer's end of a connection."""
+def wait_for_state(link: links.Link, state: int) -> None:
+    """Wait until the kernel has a connection in this TCP state."""
 
-    def there() -> bool:
+    def has_state() -> bool:
         try:
             return link.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] == state
         except OSError:
-            return True  # its reader has come to the end already
+            return True  # closed: its reader has ended already
 
-    wait_for(there)
+    wait_for(has_state)
 
 
 @contextlib.contextmanager
-def heard(link: links.Link, count: int = 1) -> Iterator[None]:
-    """What is said in this context is read by the softswitch's thread before it is left."""
+def wait_until_read(link: links.Link, count: int = 1) -> Iterator[None]:
+    """On exit, wait until the reader has enqueued `count` messages that were sent in this context."""
     before = link._received
     yield
     wait_for(lambda: link._received >= before + count)
 
 
-def trunk_of(rig: Rig, host: str) -> links.Link:
-    """The softswitch's end of its connection to a server, once the greeting is read."""
+def find_server_link(rig: Rig, host: str) -> links.Link:
+    """The softswitch's end of its connection to a server, once the server's first state report is read."""
     assert rig.switch is not None
     server = rig.switch.shared.servers[host]
     wait_for(lambda: server.link is not None and server.link._received > 0)
@@ -118,10 +118,13 @@
     return server.link
 
 
-def settled(fence: Peer, peer: Peer) -> list[Message]:
-    """What a peer was told, once the loop has dealt with all that was there: loopback delivers at once."""
-    fence.say(Test(2))
-    fence.hear(TestResult, 2)
+def collect_messages(prober: Peer, peer: Peer) -> list[Message]:
+    """What a peer has received, once the loop has processed its inbox: loopback delivers at once.
+
+    The loop has done so when it answers the test that `prober` sends.
+    """
+    prober.say(Test(2))
+    prober.hear(TestResult, 2)
     peer.sock.settimeout(0)
     try:
         while data := peer.sock.recv(65536):
@@ -132,198 +135,200 @@
     return peer.read
 
 
-def set_ups(messages: list[Message]) -> list[int]:
+def set_up_calls(messages: list[Message]) -> list[int]:
     return [message.call for message in messages if isinstance(message, SetUp)]
 
 
-# A caller that has left.
+# Callers that have left.
 
 
-def closes(caller: Peer, link: links.Link, call: int) -> None:
+def close_connection(caller: Peer, link: links.Link, call: int) -> None:
     caller.sock.close()
-    reached(link, CLOSE_WAIT)
+    wait_for_state(link, CLOSE_WAIT)
 
 
-def resets(caller: Peer, link: links.Link, call: int) -> None:
+def reset_connection(caller: Peer, link: links.Link, call: int) -> None:
     caller.reset()
-    reached(link, CLOSED)
+    wait_for_state(link, CLOSED)
 
 
-def gives_up(caller: Peer, link: links.Link, call: int) -> None:
-    with heard(link):
+def release_call(caller: Peer, link: links.Link, call: int) -> None:
+    with wait_until_read(link):
         caller.say(Release(call, Reason.CLEARED))
 
 
-def closes_behind_more(caller: Peer, link: links.Link, call: int) -> None:
+def close_after_burst(caller: Peer, link: links.Link, call: int) -> None:
     numbers = range(0xE00, 0xE00 + 2 * links.MAX_SHARES_AHEAD)
-    # The reader stops short of the end: so much waits for the loop.
+    # The reader pauses before the end of the connection, since its shares of the inbox are used up.
     caller.say(*(SetUp(number, "voice", 5000, "7", b"offer", first_choice=0) for number in numbers))
     caller.sock.close()
-    reached(link, CLOSE_WAIT)
+    wait_for_state(link, CLOSE_WAIT)
 
 
-LEAVING = [closes, resets, gives_up, closes_behind_more]
+WAYS_TO_LEAVE = [close_connection, reset_connection, release_call, close_after_burst]
 
 
-@pytest.mark.parametrize("leaves", LEAVING)
-def test_a_caller_that_left_while_its_set_up_was_in_the_queue_is_not_sent_on(
-    one: One, leaves: Callable[..., None]
+@pytest.mark.parametrize("leave", WAYS_TO_LEAVE)
+def test_set_up_of_a_caller_that_left_while_it_was_queued_is_not_sent(
+    one: One, leave: Callable[..., None]
 ) -> None:
     rig, _, trunk, caller = one
     other = rig.caller()
-    link, _ = link_of(rig, caller), link_of(rig, other)
+    link, _ = find_link(rig, caller), find_link(rig, other)
     with PausedLoop(rig):
-        with heard(link):
+        with wait_until_read(link):
             call = rig.call(caller)
-        leaves(caller, link, call)
-    assert set_ups(settled(other, trunk)) == []
-    set_up_call(rig, trunk, other)  # and nobody else is hurt
+        leave(caller, link, call)
+    assert set_up_calls(collect_messages(other, trunk)) == []
+    set_up_call(rig, trunk, other)  # other callers are served
 
 
-@pytest.mark.parametrize("leaves", LEAVING)
-def test_a_dial_that_comes_up_just_after_the_caller_left_carries_nothing(
-    rig: Rig, monkeypatch: pytest.MonkeyPatch, leaves: Callable[..., None]
+@pytest.mark.parametrize("leave", WAYS_TO_LEAVE)
+def test_connection_made_after_the_caller_left_carries_no_set_up(
+    rig: Rig, monkeypatch: pytest.MonkeyPatch, leave: Callable[..., None]
 ) -> None:
-    real, dials = links.dial, list[Any]()
-    monkeypatch.setattr(links, "dial", lambda *about: dials.append(about))
+    real_dial, dials = links.dial, list[Any]()
+    monkeypatch.setattr(links, "dial", lambda *args: dials.append(args))
     server = Server()
     rig.open(list_line(server, "s-1"))
     caller, other = rig.caller(), rig.caller()
-    link, _ = link_of(rig, caller), link_of(rig, other)
+    link, _ = find_link(rig, caller), find_link(rig, other)
     call = rig.call(caller)
     assert rig.switch is not None
-    known = rig.switch.shared.servers["s-1"]
-    wait_for(lambda: len(known.waiting) == 1)
-    with PausedLoop(rig) as held:
-        real(*dials[0])
+    known_server = rig.switch.shared.servers["s-1"]
+    wait_for(lambda: len(known_server.waiting) == 1)
+    with PausedLoop(rig) as paused:
+        real_dial(*dials[0])
         trunk = server.accept()
-        held.waiting(1)
-        leaves(caller, link, call)
-    assert set_ups(settled(other, trunk)) == []
-    monkeypatch.setattr(links, "dial", real)
+        paused.wait_for_inbox(1)
+        leave(caller, link, call)
+    assert set_up_calls(collect_messages(other, trunk)) == []
+    monkeypatch.setattr(links, "dial", real_dial)
     set_up_call(rig, trunk, other)
 
 
-@pytest.mark.parametrize("leaves", LEAVING)
-def test_a_refusal_that_crosses_the_callers_end_brings_no_further_attempt(
-    rig: Rig, leaves: Callable[..., None]
+@pytest.mark.parametrize("leave", WAYS_TO_LEAVE)
+def test_refusal_that_crosses_the_callers_end_causes_no_further_attempt(
+    rig: Rig, leave: Callable[..., None]
 ) -> None:
     servers = [Server(), Server()]
     rig.open(list_line(servers[0], "s-1", 0), list_line(servers[1], "s-2", 1))
     first, second, caller, other = servers[0].accept(), servers[1].accept(), rig.caller(), rig.caller()
-    link, _ = link_of(rig, caller), link_of(rig, other)
-    trunk, _ = trunk_of(rig, "s-1"), trunk_of(rig, "s-2")
+    link, _ = find_link(rig, caller), find_link(rig, other)
+    trunk, _ = find_server_link(rig, "s-1"), find_server_link(rig, "s-2")
     call = rig.call(caller)
     first.hear(SetUp, call)
     with PausedLoop(rig):
-        with heard(trunk):
+        with wait_until_read(trunk):
             first.say(Release(call, Reason.FULL, Note.OVERLOAD))
-        leaves(caller, link, call)
-    assert set_ups(settled(other, second)) == []
-    assert set_ups(settled(other, first)) == []
+        leave(caller, link, call)
+    assert set_up_calls(collect_messages(other, second)) == []
+    assert set_up_calls(collect_messages(other, first)) == []
 
 
-@pytest.mark.parametrize("leaves", LEAVING)
+@pytest.mark.parametrize("leave", WAYS_TO_LEAVE)
 @pytest.mark.parametrize("ending", [Release(0, Reason.INTERRUPTED), Release(0, Reason.FULL, Note.OVERLOAD)])
-def test_a_pause_or_a_mark_that_ends_before_the_callers_end_is_heard_brings_no_attempt(
-    one: One, ending: Release, leaves: Callable[..., None]
+def test_retry_that_falls_due_before_the_callers_end_is_processed_is_not_sent(
+    one: One, ending: Release, leave: Callable[..., None]
 ) -> None:
     rig, _, trunk, caller = one
     other = rig.caller()
-    link, _ = link_of(rig, caller), link_of(rig, other)
+    link, _ = find_link(rig, caller), find_link(rig, other)
     call = rig.call(caller)
     trunk.hear(SetUp, call)
-    with heard(trunk_of(rig, "s-1")):
-        trunk.say(Release(call, ending.reason, ending.note))  # its line may be taken still; or it is marked
-    assert set_ups(settled(other, trunk)) == []
-    with PausedLoop(rig) as held:
-        for _ in range(2000):  # ahead of the end that is to come: timers have their turn between them
-            held.switch.shared.inbox.put(bulletin.ListUpdate(0, False, ()))
-        leaves(caller, link, call)
-        over = time.monotonic() + 0.3  # the pause, and the mark
-        wait_for(lambda: time.monotonic() > over)
-    assert call not in set_ups(settled(other, trunk))
-
-
-def test_a_set_up_that_waits_for_a_server_to_read_is_taken_back_when_its_caller_leaves(one: One) -> None:
+    with wait_until_read(find_server_link(rig, "s-1")):
+        # The retry waits: the line may be taken still, or the server has a skip mark.
+        trunk.say(Release(call, ending.reason, ending.note))
+    assert set_up_calls(collect_messages(other, trunk)) == []
+    with PausedLoop(rig) as paused:
+        for _ in range(2000):  # before the end in the inbox: timers run between these items
+            paused.switch.shared.inbox.put(bulletin.ListUpdate(0, False, ()))
+        leave(caller, link, call)
+        due = time.monotonic() + 0.3  # longer than the release wait and the skip mark
+        wait_for(lambda: time.monotonic() > due)
+    assert call not in set_up_calls(collect_messages(other, trunk))
+
+
+def test_set_up_in_the_outbox_is_withdrawn_when_its_caller_leaves(one: One) -> None:
     rig, _, trunk, caller = one
     other = rig.caller()
-    link_of(rig, caller), link_of(rig, other)
+    find_link(rig, caller), find_link(rig, other)
     assert rig.switch is not None
     shared = rig.switch.shared
-    shared.min_aim = 10**12  # no connection beside this one
+    shared.min_aim = 10**12  # no additional connection
     trunk.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    known = shared.servers["s-1"]
-    link = known.link
+    known_server = shared.servers["s-1"]
+    link = known_server.link
     assert link is not None
     while link.is_drained():
-        link.write(codec.encode(Answer(1, b"x" * 4000)))  # until the server's end is full
+        link.write(codec.encode(Answer(1, b"x" * 4000)))  # until the server's receive buffer is full
     call = rig.call(caller)
-    wait_for(lambda: call in known.attempts)
+    wait_for(lambda: call in known_server.attempts)
     caller.say(Release(call, Reason.CLEARED))
     late = rig.call(other)
-    wait_for(lambda: late in known.attempts)
+    wait_for(lambda: late in known_server.attempts)
     assert trunk.hear(SetUp).call == late
 
 
-# A server that was told to go.
+# A server that drains.
 
 
-def test_a_dial_that_comes_up_after_the_news_of_a_drain_carries_nothing(
+def test_connection_made_after_its_server_began_to_drain_carries_no_set_up(
     rig: Rig, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    real, dials = links.dial, list[Any]()
-    monkeypatch.setattr(links, "dial", lambda *about: dials.append(about))
+    real_dial, dials = links.dial, list[Any]()
+    monkeypatch.setattr(links, "dial", lambda *args: dials.append(args))
     server = Server()
     rig.open(list_line(server, "s-1"))
     caller = rig.caller()
-    link_of(rig, caller)
+    find_link(rig, caller)
     call = rig.call(caller)
     assert rig.switch is not None
     wait_for(lambda: len(rig.switch.shared.servers["s-1"].waiting) == 1 if rig.switch else False)
     rig.bulletin.tell(list_line(server, "s-1", health="Terminating"))
     wait_for(lambda: rig.switch is not None and not rig.switch.route.controller.active)
-    real(*dials[0])
+    real_dial(*dials[0])
     trunk = server.accept()
     assert caller.hear(Release, call).reason is Reason.CONGESTED
-    assert set_ups(settled(caller, trunk)) == []
+    assert set_up_calls(collect_messages(caller, trunk)) == []
 
 
-# A caller's connection that is closed from this side.
+# Closing of idle callers' connections.
 
 
 @pytest.mark.parametrize("part", ["whole", "half", "in hand"])
-def test_an_idle_connection_is_not_closed_over_what_has_just_come_on_it(
+def test_idle_connection_with_unprocessed_input_is_not_closed(
     one: One, monkeypatch: pytest.MonkeyPatch, part: str
 ) -> None:
     rig, _, trunk, caller = one
-    link = link_of(rig, caller)
+    link = find_link(rig, caller)
     assert rig.switch is not None
     switch = rig.switch
 
-    def tidy() -> None:
+    def close_idle() -> None:
         with monkeypatch.context() as now:
             now.setattr(module, "IDLE_TIMEOUT", -1)
             switch.close_idle_callers()
-        go_on.set()
+        may_continue.set()
 
     data = codec.encode(SetUp(0xF1, "voice", 5000, "7", b"offer", first_choice=0))
-    read, go_on = threading.Event(), threading.Event()
+    was_read, may_continue = threading.Event(), threading.Event()
     feed = link.wire_codec.feed
 
-    def late(data: bytes) -> Iterator[Message]:
-        read.set()
-        assert go_on.wait(TIMEOUT_S)
+    def delayed_feed(data: bytes) -> Iterator[Message]:
+        was_read.set()
+        assert may_continue.wait(TIMEOUT_S)
         return feed(data)
 
-    with PausedLoop(rig, tidy):
+    with PausedLoop(rig, close_idle):
         if part == "whole":
-            with heard(link):
+            with wait_until_read(link):
                 caller.sock.sendall(data)
         elif part == "in hand":
-            monkeypatch.setattr(link.wire_codec, "feed", late)  # the reader has it, and nobody knows yet
+            # The reader has taken the bytes off the socket, and has not counted their message yet.
+            monkeypatch.setattr(link.wire_codec, "feed", delayed_feed)
             caller.sock.sendall(data)
-            assert read.wait(TIMEOUT_S)
+            assert was_read.wait(TIMEOUT_S)
         else:
             caller.sock.sendall(data[:9])
             wait_for(lambda: link._complete_by > 0)
@@ -334,30 +339,30 @@
     caller.hear(Answer, 0xF1)
 
 
-# The clock of a turn.
+# Turns of the loop, and their clock.
 
 
-def test_a_turn_is_short_however_much_waits(one: One) -> None:
+def test_turn_processes_at_most_16_items(one: One) -> None:
     rig, _, _, caller = one
-    link_of(rig, caller)
+    find_link(rig, caller)
     assert rig.switch is not None
-    switch, dealt, turns = rig.switch, 0, list[int]()
-    real_deal, real_turn = switch.dispatch, switch.operation.turn
-
-    def deal(item: Any) -> None:
-        nonlocal dealt
-        dealt += 1
-        real_deal(item)
-
-    def turn() -> None:
-        nonlocal dealt
-        turns.append(dealt)
-        dealt = 0
+    switch, processed, turns = rig.switch, 0, list[int]()
+    real_dispatch, real_turn = switch.dispatch, switch.operation.turn
+
+    def count_item(item: Any) -> None:
+        nonlocal processed
+        processed += 1
+        real_dispatch(item)
+
+    def count_turn() -> None:
+        nonlocal processed
+        turns.append(processed)
+        processed = 0
         real_turn()
 
-    setattr(switch.operation, "turn", turn)  # noqa: B010
+    setattr(switch.operation, "turn", count_turn)  # noqa: B010
     with PausedLoop(rig):
-        setattr(switch, "dispatch", deal)  # noqa: B010
+        setattr(switch, "dispatch", count_item)  # noqa: B010
         for _ in range(1000):
             switch.shared.inbox.put(bulletin.ListUpdate(0, False, ()))
     caller.say(Test(3))
@@ -366,49 +371,49 @@
     assert max(turns) <= 16
 
 
-def test_a_call_that_waited_for_the_loop_has_so_much_less_time_left(one: One) -> None:
+def test_time_in_the_inbox_counts_against_the_deadline_of_a_call(one: One) -> None:
     rig, _, trunk, caller = one
-    link = link_of(rig, caller)
+    link = find_link(rig, caller)
     assert rig.switch is not None
     with PausedLoop(rig):
-        with heard(link):
+        with wait_until_read(link):
             call = rig.call(caller, wait_ms=4000)
-        come = time.monotonic_ns() // 1000
+        received_by = time.monotonic_ns() // 1000
     trunk.hear(SetUp, call)
-    assert rig.switch.shared.open_calls[call].deadline <= come + 4_000_000 - module.ANSWER_MARGIN
+    assert rig.switch.shared.open_calls[call].deadline <= received_by + 4_000_000 - module.ANSWER_MARGIN
 
 
-def test_an_answer_to_an_attempt_that_was_just_given_up_goes_to_nobody(one: One) -> None:
+def test_answer_to_an_attempt_that_was_just_given_up_is_not_forwarded(one: One) -> None:
     rig, _, trunk, caller = one
     other = rig.caller()
-    link, back = link_of(rig, caller), trunk_of(rig, "s-1")
+    link, server_link = find_link(rig, caller), find_server_link(rig, "s-1")
     call = rig.call(caller)
     trunk.hear(SetUp, call)
     with PausedLoop(rig):
-        gives_up(caller, link, call)
-        with heard(back, 2):
-            trunk.say(Answer(call, b"accept"), Answer(call, b"again"))  # the second some moments late
-    settled(other, trunk)
+        release_call(caller, link, call)
+        with wait_until_read(server_link, 2):
+            trunk.say(Answer(call, b"accept"), Answer(call, b"again"))  # the second comes as a late repeat
+    collect_messages(other, trunk)
     trunk.say(GroupState(0, LINES))
-    assert not [message for message in settled(other, caller) if isinstance(message, Answer)]
+    assert not [message for message in collect_messages(other, caller) if isinstance(message, Answer)]
     assert trunk.hear(Release, call).reason is Reason.CLEARED
 
 
-# The end of the process.
+# The stop of the softswitch.
 
 
-@pytest.mark.parametrize("behind", [False, True])
-def test_what_came_just_before_the_end_is_answered_before_it(one: One, behind: bool) -> None:
+@pytest.mark.parametrize("after_a_test", [False, True])
+def test_set_up_received_just_before_the_stop_is_answered(one: One, after_a_test: bool) -> None:
     rig, _, trunk, caller = one
-    link = link_of(rig, caller)
+    link = find_link(rig, caller)
     assert rig.switch is not None
     switch = rig.switch
 
     def stop() -> None:
-        switch.stop_requested = True  # with no notice here: the loop may end right after this turn
+        switch.stop_requested = True  # MIN_STOP_TIME is 0 here: the loop may end right after this turn
 
-    with PausedLoop(rig, stop), heard(link, 1 + behind):
-        if behind:
+    with PausedLoop(rig, stop), wait_until_read(link, 1 + after_a_test):
+        if after_a_test:
             caller.say(Test(4))
         call = rig.call(caller)
     trunk.hear(SetUp, call)
--- a/tests/test_defences.py
+++ b/tests/test_defences.py
@@ -1,4 +1,4 @@
-"""One small test for each failure found on the bench; each fails without its guard."""
+"""One small test per failure that was found on the test bench; each fails without its safeguard."""
 
 from collections import Counter
 from dataclasses import replace
@@ -11,7 +11,7 @@
 from .helpers import BASIC, LONG, MS, SECOND, Host, final_answers, sent_servers, server_entry
 
 
-def test_set_ups_overtaken_by_a_later_one_are_called_off_without_blame() -> None:
+def test_set_up_overtaken_by_a_later_one_is_cancelled_without_a_failure() -> None:
     host = Host(servers=1)
     host.new_call(1)
     host.now += 2 * T_M
@@ -24,7 +24,7 @@
     assert sent_servers(host.advance(host.settings.release_wait)) == ["s0"]
 
 
-def test_a_full_of_either_kind_does_not_read_as_a_restart() -> None:
+def test_full_answers_are_not_taken_for_a_restart() -> None:
     host = Host(servers=1)
     server = host.controller.servers["s0"]
     for number in range(1, 5):
@@ -40,14 +40,14 @@
     assert server.cold_since == 0
 
 
-def test_window_holds_set_ups_back_before_a_queue_can_build() -> None:
+def test_window_limits_set_ups_in_flight() -> None:
     host = Host(servers=1)
-    out = sum(bool(sent_servers(host.new_call(n))) for n in range(1, 20))
-    assert out == 2
+    sent_count = sum(bool(sent_servers(host.new_call(n))) for n in range(1, 20))
+    assert sent_count == 2
     assert len(host.controller.queued) == 17
 
 
-def test_window_closes_on_slow_set_ups_and_opens_on_quick_ones() -> None:
+def test_window_shrinks_on_slow_set_ups_and_grows_on_quick_ones() -> None:
     host = Host(servers=1)
     server = host.controller.servers["s0"]
     for number in range(1, 30):
@@ -62,7 +62,7 @@
     assert server.window == MIN_WINDOW
 
 
-def test_marks_grow_with_failures_in_a_row_and_end_with_a_stand() -> None:
+def test_skip_marks_double_with_failures_in_a_row_and_end_with_an_answered_call() -> None:
     host = Host(servers=1)
     server = host.controller.servers["s0"]
     lengths = []
@@ -79,14 +79,14 @@
     assert server.failures == 0
 
 
-def test_resets_of_many_calls_at_once_are_one_failure() -> None:
+def test_simultaneous_resets_of_many_calls_are_one_failure() -> None:
     host = Host(servers=1)
     for number in range(100, 130):
         host.attempt_ended(number, "s0", api.Outcome.RESET, over=True)
     assert host.controller.servers["s0"].failures == 1
 
 
-def test_a_server_that_fails_repeatedly_gets_one_trial_at_a_time() -> None:
+def test_server_with_repeated_failures_gets_one_set_up_at_a_time() -> None:
     host = Host(servers=1)
     server = host.controller.servers["s0"]
     server.failures = 2
@@ -94,7 +94,7 @@
     assert sent_servers(host.new_call(2)) == []
 
 
-def test_silence_is_noticed_before_any_time_out() -> None:
+def test_silent_server_is_a_failure_before_any_time_out() -> None:
     host = Host(servers=2)
     for number in range(1, 3):
         host.new_call(number, first=0)
@@ -103,7 +103,7 @@
     assert sent_servers(host.new_call(9, first=0)) == ["s1"]
 
 
-def test_a_server_back_from_silence_counts_as_cold_until_it_is_quick() -> None:
+def test_server_back_from_silence_is_cold_until_it_is_quick() -> None:
     host = Host(servers=1)
     server = host.controller.servers["s0"]
     server.min_time, server.failures, server.sampled_at = 50.0 * MS, 2, host.now
@@ -117,11 +117,11 @@
     assert server.cold_since == 0
 
 
-def test_the_lines_of_a_server_and_not_the_calls_of_all_set_its_cold_budget() -> None:
+def test_budget_of_a_cold_server_follows_its_lines_and_not_the_total_rate() -> None:
     count = 0
     for seed in range(20):
         host = Host(servers=2, seed=seed, classes=(LONG,))
-        # 20 lines, ten seconds a call, four proxies: half a set-up a second each
+        # 20 lines, calls of ten seconds, four softswitches: half a set-up per second for each
         host.report_lines(s0=4000, s1=20)
         host.update_list(server_entry(0), server_entry(1, started=host.now - SECOND))
         host.controller.rate, host.controller.servers["s1"].rate = 40.0, 0.2
@@ -133,7 +133,7 @@
     assert 20 / 5 <= count <= 20 * 2
 
 
-def test_what_a_full_server_turns_away_at_many_proxies_spreads_over_the_others() -> None:
+def test_overflow_of_a_full_server_from_many_softswitches_spreads_over_the_others() -> None:
     taken: Counter[str] = Counter()
     for seed in range(40):
         host = Host(servers=5, seed=seed)
@@ -141,10 +141,10 @@
         host.new_call(1, first=0)
         taken.update(sent_servers(host.attempt_ended(1, "s0", api.Outcome.FULL)))
     assert len(taken) == 4, taken
-    assert max(taken.values()) <= 20  # forty from one pointer would be a flood
+    assert max(taken.values()) <= 20  # all forty at one server would overload it
 
 
-def test_what_is_late_is_called_off_without_counting_as_lost() -> None:
+def test_late_set_up_is_cancelled_without_counting_as_lost() -> None:
     host = Host(servers=2)
     host.controller.loss = loss = 0.2
     host.controller.servers["s0"].rho = 0.3
@@ -153,7 +153,7 @@
     assert host.controller.loss <= loss
 
 
-def test_the_last_servers_with_room_take_their_own_part_of_what_the_pressed_turn_away() -> None:
+def test_last_server_with_room_takes_overflow_in_proportion_to_its_lines() -> None:
     taken = 0
     for seed in range(50):
         host = Host(servers=10, seed=seed, proxies=200)
@@ -164,10 +164,10 @@
                 server.rho, server.mark_until = 2.0, host.now + SECOND * (server.number == 0)
         for number in range(1, 4):
             taken += "s9" in sent_servers(host.new_call(seed * 3 + number, first=0))
-    assert taken <= 150 / 20  # it has an eightieth of the lines; all would bury it
+    assert taken <= 150 / 20  # it has about an eightieth of the lines: the whole overflow would overload it
 
 
-def test_a_slow_processor_takes_less_whatever_its_lines() -> None:
+def test_slow_processor_takes_less_overflow_at_equal_lines() -> None:
     taken: Counter[str] = Counter()
     for seed in range(100):
         host = Host(servers=3, seed=seed)
@@ -178,7 +178,7 @@
     assert taken["s1"] > 3 * taken["s2"] > 0
 
 
-def test_a_server_that_keeps_failing_few_calls_is_tried_seldom_by_all_proxies_together() -> None:
+def test_trials_of_a_failing_server_are_bounded_over_all_softswitches() -> None:
     host = Host(servers=1, proxies=200)
     server = host.controller.servers["s0"]
     marks = []
@@ -187,12 +187,12 @@
         host.controller._mark_failed(server)
         marks.append(server.mark_until - host.now)
         host.now = host.controller.now = server.mark_until
-    assert marks[0] == FIRST_MARK  # one failure proves little
-    assert marks[1] >= SECOND / 0.2  # two: the next own set-up is skipped
-    assert max(marks) == 200 * SECOND // 4  # four trials a second by all of them
+    assert marks[0] == FIRST_MARK  # a single failure is weak evidence
+    assert marks[1] >= SECOND / 0.2  # after two, the next set-up of this softswitch is skipped
+    assert max(marks) == 200 * SECOND // 4  # four trials a second by all 200 softswitches
 
 
-def test_a_pressed_share_turns_away_repeats_before_first_tries() -> None:
+def test_low_pass_share_rejects_repeats_before_first_attempts() -> None:
     host = Host(servers=1)
     host.controller.servers["s0"].share = 0.5
     passed = {False: 0, True: 0}
@@ -204,7 +204,7 @@
     assert 30 < passed[True] < 100
 
 
-def test_classes_of_more_worth_pass_a_pressed_server_more_often() -> None:
+def test_low_pass_share_admits_classes_of_more_worth_more_often() -> None:
     host = Host(servers=1)
     host.controller.servers["s0"].share = 0.2
     passed = 0
@@ -214,7 +214,7 @@
     assert 870 < passed < 938  # 0.2 to the power of a quarter squared is 0.904
 
 
-def test_nonsense_reports_leave_no_evidence() -> None:
+def test_invalid_reports_leave_no_samples() -> None:
     host = Host(servers=1)
     server = host.controller.servers["s0"]
     for report in (
@@ -229,7 +229,7 @@
     assert server.samples == []
 
 
-def test_a_share_at_the_bottom_recovers_once_the_server_is_idle() -> None:
+def test_minimum_pass_share_recovers_once_the_server_is_idle() -> None:
     host = Host(servers=1)
     server = host.controller.servers["s0"]
     server.share, server.rho = P_MIN, 2.0
@@ -237,7 +237,7 @@
     assert server.share == 1.0
 
 
-def test_the_window_closes_while_set_ups_stay_out_too_long() -> None:
+def test_window_shrinks_while_set_ups_stay_in_flight_too_long() -> None:
     host = Host(servers=1)
     server = host.controller.servers["s0"]
     server.window = 8.0
@@ -247,23 +247,23 @@
     assert server.window < 2
 
 
-def test_a_step_needs_fresh_evidence() -> None:
+def test_pass_share_steps_only_on_a_new_sample() -> None:
     host = Host(servers=1)
     server = host.controller.servers["s0"]
     server.samples = [4.0]
     host.controller._take_sample(server)
     host.controller._step_share(server)
-    once = server.share
+    share_after_one = server.share
     for _ in range(5):
         host.controller._step_share(server)
-    assert server.share == once < 1
+    assert server.share == share_after_one < 1
     server.samples = [4.0]
     host.controller._take_sample(server)
     host.controller._step_share(server)
-    assert server.share < once
+    assert server.share < share_after_one
 
 
-def test_silence_is_judged_by_the_set_ups_to_be_expected() -> None:
+def test_pass_share_recovers_without_samples_only_where_set_ups_were_expected() -> None:
     shares = []
     for rate in (4.0, 0.2):
         host = Host(servers=1)
@@ -277,15 +277,15 @@
     assert shares[1] == 0.3
 
 
-def test_a_further_server_takes_a_draw_of_its_own() -> None:
+def test_overflow_to_another_server_draws_against_its_own_pass_share() -> None:
     host = Host(servers=2)
     host.controller.servers["s1"].share = 1e-12
     host.new_call(1, first=0)
-    # s0 is marked, s1 pressed: not handed round
+    # s0 is marked and s1 has a low pass share: the call is not passed on to others
     assert final_answers(host.attempt_ended(1, "s0", api.Outcome.FULL))
 
 
-def test_a_pressed_sample_lowers_the_chance_at_once() -> None:
+def test_high_occupancy_sample_lowers_admission_at_once() -> None:
     host = Host(servers=1)
     passed = 0
     for number in range(1, 1001):
@@ -296,7 +296,7 @@
     assert 440 < passed < 560  # the share is still 1
 
 
-def test_spill_goes_by_free_lines_and_not_to_a_server_without() -> None:
+def test_overflow_follows_free_lines_and_skips_a_server_without() -> None:
     host = Host(servers=4)
     host.report_lines(s0=500, s1=900, s2=90, s3=(0, 700))
     host.controller.servers["s0"].share = 1e-12
@@ -309,11 +309,11 @@
     assert 8 < taken["s1"] / taken["s2"] < 12
 
 
-def test_what_marks_turn_away_goes_by_lines_when_none_has_room() -> None:
+def test_overflow_of_a_marked_server_follows_lines_when_none_has_room() -> None:
     host = Host(servers=3)
     host.report_lines(s0=500, s1=900, s2=90)
     for server in host.controller.servers.values():
-        server.rho = 0.9  # no room for spill, yet no pressure
+        server.rho = 0.9  # no room for overflow, but not overloaded
     taken = {"s1": 0, "s2": 0}
     for number in range(1, 501):
         host.controller.servers["s0"].mark_until = host.now + SECOND
@@ -323,7 +323,7 @@
     assert taken["s1"] > 8 * taken["s2"] > 0
 
 
-def test_nonsense_lines_are_passed_over() -> None:
+def test_invalid_line_reports_are_ignored() -> None:
     host = Host(servers=1)
     host.report_lines(s0=(30, 90))
     for free, lines in ((-1.0, -1.0), (float("nan"), 5.0), (9.0, 3.0), (1.0, float("inf"))):
@@ -333,13 +333,13 @@
     host.handle(api.ProbeAnswered("gone", True, 0, {"free": 1.0, "lines": 2.0}))
 
 
-def test_a_report_tells_lost_answers_from_a_queue() -> None:
+def test_reported_wait_tells_lost_answers_from_a_queue() -> None:
     host = Host(servers=1)
     server = host.controller.servers["s0"]
     host.new_call(1)
     host.now += 1500 * MS
     host.attempt_ended(77, "s0", api.Outcome.ENDED, over=True, report={"wait_ms": 900.0})
-    assert 1 in server.open  # a queue of 0.9 s and a late report explain that
+    assert 1 in server.open  # explained by a queue of 0.9 s and a late report
     assert api.Cancel(1, 0) in host.attempt_ended(
         78, "s0", api.Outcome.ENDED, over=True, report={"wait_ms": 5.0}
     )
@@ -348,17 +348,15 @@
 
 
 @pytest.mark.parametrize(("took", "lost"), [(20 * MS, True), (40 * MS, False), (0, False)])
-def test_a_probe_that_is_answered_tells_what_is_lost_of_all_that_went_out_well_before(
-    took: int, lost: bool
-) -> None:
+def test_answered_probe_shows_which_earlier_set_ups_are_lost(took: int, lost: bool) -> None:
     host = Host()
     host.new_call(1)
     host.advance(100 * MS)
-    actions = host.handle(api.ProbeAnswered("s0", True, took, {}))  # 0: a report that came unasked
+    actions = host.handle(api.ProbeAnswered("s0", True, took, {}))  # 0: an unsolicited report
     assert (api.Cancel(1, 0) in actions) is lost
 
 
-def test_while_answers_get_lost_a_late_set_up_is_tried_again_within_its_aim() -> None:
+def test_late_set_up_is_retried_within_its_aim_while_answers_are_lost() -> None:
     for loss, attempts in ((0.0, 1), (0.3, 2)):
         host = Host(servers=1)
         host.controller.loss = loss
@@ -375,7 +373,7 @@
 
 
 @pytest.mark.parametrize(("aim", "part"), [(4 * SECOND, 1), (SECOND, 1), (SECOND // 4, 4)])
-def test_the_loop_is_as_quick_as_calls_are_wanted_and_never_slower(aim: int, part: int) -> None:
+def test_control_interval_shrinks_with_a_short_aim_and_never_grows(aim: int, part: int) -> None:
     host = Host(classes=(replace(BASIC, aim=aim),))
     first = host.controller.ticks
     host.advance(SECOND)
@@ -385,55 +383,57 @@
     assert host.controller.servers["s0"].mark_until - host.now == FIRST_MARK // part
 
 
-def test_a_server_whose_successor_is_warm_enough_comes_last() -> None:
+def test_server_with_a_warm_successor_is_chosen_last() -> None:
     host = Host()
-    late = server_entry(0, started=host.now, name="late")
-    host.update_list(late, kind=api.ListKind.CHANGES)
-    host.report_lines(s0=90, s1=90, late=90)
-    # the successor is cold: it could not do the work
+    successor = server_entry(0, started=host.now, name="late")
+    host.update_list(successor, kind=api.ListKind.CHANGES)
+    host.report_lines(s0=90, s1=90, successor=90)
+    # the successor is still cold and has too little capacity
     assert sent_servers(host.new_call(1, first=0)) == ["s0"]
     host.call_stands(1, "s0")
     host.advance(21 * SECOND)
     assert sent_servers(host.new_call(2, first=0)) == ["late"]
     host.call_stands(2, "late")
-    host.update_list(server_entry(0, api.ServerState.GONE, late.started, "late"), kind=api.ListKind.CHANGES)
+    host.update_list(
+        server_entry(0, api.ServerState.GONE, successor.started, "late"), kind=api.ListKind.CHANGES
+    )
     assert sent_servers(host.new_call(9, first=0)) == ["s0"]
 
 
-def test_a_stale_timer_does_not_call_off_a_later_attempt() -> None:
+def test_stale_timer_does_not_cancel_a_later_attempt() -> None:
     host = Host(servers=2)
     host.controller.loss = 0.3
     for server in host.controller.servers.values():
         server.min_time, server.rho = 40.0 * MS, 0.2
     host.new_call(1)
-    early = host.controller.calls[1].cancel_at
-    host.now = early - 10 * MS
+    stale_due = host.controller.calls[1].cancel_at
+    host.now = stale_due - 10 * MS
     assert sent_servers(host.attempt_ended(1, "s0", api.Outcome.FULL)) == ["s1"]
-    host.now = early
+    host.now = stale_due
     assert host.handle(api.TimerDue(2)) == []
 
 
-def test_a_busy_number_blames_no_server_and_is_not_tried_again() -> None:
+def test_busy_number_leaves_no_sample_and_is_not_retried() -> None:
     host = Host(servers=2)
     host.new_call(1)
     assert isinstance(host.attempt_ended(1, "s0", api.Outcome.ERROR, busy=True)[-1], api.Refuse)
     assert host.controller.servers["s0"].samples == []
 
 
-def test_an_error_is_the_calls_and_only_errors_alone_are_the_servers() -> None:
+def test_server_is_marked_after_errors_alone_and_not_after_one() -> None:
     host = Host(servers=2)
     server = host.controller.servers["s0"]
     for number in range(1, 6):
         assert server.mark_until == 0
-        host.now += MS  # what comes at once has one cause
+        host.now += MS  # errors at the same moment count as one
         host.new_call(number)
-        # one may be chance: another attempt
+        # a single error may be chance: the call gets another attempt
         (other,) = sent_servers(host.attempt_ended(number, "s0", api.Outcome.ERROR))
         assert isinstance(host.attempt_ended(number, other, api.Outcome.ERROR, attempt=1)[-1], api.Fail)
     assert server.mark_until > host.now
 
 
-def test_a_server_without_a_free_line_is_not_asked_and_not_taken_for_a_pressed_one() -> None:
+def test_server_without_a_free_line_is_skipped_and_not_taken_for_overloaded() -> None:
     host = Host(servers=2)
     host.report_lines(s0=(1, 65), s1=(200, 240))
     host.new_call(1)  # takes the line that was free
@@ -443,7 +443,7 @@
     host.report_lines(s0=(1, 65))
     assert sent_servers(host.new_call(3)) == ["s0"]
     ended = api.AttemptEnded(3, 0, "s0", api.Outcome.FULL, 9 * MS, False, False, {}, no_line=True)
-    assert sent_servers(host.handle(ended)) == ["s1"]  # another took it meanwhile
+    assert sent_servers(host.handle(ended)) == ["s1"]  # another call took the line meanwhile
     server = host.controller.servers["s0"]
     assert (server.failures, server.mark_until, server.samples[1:]) == (0, 0, [])
     assert sent_servers(host.new_call(4)) == ["s1"]
@@ -452,8 +452,8 @@
 
 
 @pytest.mark.parametrize("rate", [0.2, 20.0])
-def test_a_call_burns_no_attempts_where_it_found_no_line(rate: float) -> None:
-    """Hundreds may ask at the same moment; where few do, lines come free all the time, and are told."""
+def test_call_that_found_no_line_uses_no_attempt_until_one_is_free(rate: float) -> None:
+    """Hundreds of softswitches may ask at once; at low rates free lines are reported all the time."""
     host = Host(servers=1)
     host.controller.rate = rate
     host.report_lines(s0=(2, 65))
@@ -465,7 +465,7 @@
     assert sent_servers(host.advance(2 * T_M)) == ["s0"]
 
 
-def test_a_server_that_has_left_for_long_is_forgotten() -> None:
+def test_server_that_left_long_ago_is_removed() -> None:
     host = Host(servers=2)
     for number in range(100):
         host.update_list(
@@ -475,30 +475,30 @@
     assert len(host.controller.servers) < 40
 
 
-def test_probes_go_only_to_servers_in_doubt() -> None:
+def test_probes_go_only_to_throttled_servers_without_recent_samples() -> None:
     host = Host(servers=3, may_probe=True)
     host.now += 2 * SECOND
     host.controller.rate = 1.0
-    for name, share, heard in (("s0", 1.0, 0), ("s1", 0.5, 0), ("s2", 0.5, host.now)):
+    for name, share, last_sample in (("s0", 1.0, 0), ("s1", 0.5, 0), ("s2", 0.5, host.now)):
         server = host.controller.servers[name]
-        server.share, server.rho, server.sampled_at = share, 1.2, heard
+        server.share, server.rho, server.sampled_at = share, 1.2, last_sample
         server.open[99] = host.now
     host.controller.ticks = 4
-    asked = [action.server for action in host.controller.handle(api.TimerDue(0), host.now)
+    probed = [action.server for action in host.controller.handle(api.TimerDue(0), host.now)
              if isinstance(action, api.Probe)]  # fmt: skip
-    assert asked == ["s1"]
+    assert probed == ["s1"]
 
 
-def test_less_wait_is_aimed_at_where_own_evidence_is_thin() -> None:
+def test_target_time_is_shorter_where_samples_are_few() -> None:
     host = Host(servers=1)
     server = host.controller.servers["s0"]
     server.rate = 3.0
-    dense = host.controller._target_time(server)
+    high_rate_target = host.controller._target_time(server)
     server.rate = 0.3
-    assert host.controller._target_time(server) < dense / 2
+    assert host.controller._target_time(server) < high_rate_target / 2
 
 
-def test_where_evidence_is_thin_one_set_up_at_a_time_is_out() -> None:
+def test_one_set_up_at_a_time_is_in_flight_where_samples_are_few() -> None:
     host = Host(servers=1)
     server = host.controller.servers["s0"]
     server.window, server.rate = 6.0, 0.3
@@ -507,7 +507,7 @@
     assert sent_servers(host.new_call(4)) == ["s0"]
 
 
-def test_a_server_just_warm_is_let_go_only_by_those_who_saw_it_quick() -> None:
+def test_server_just_warm_is_ready_only_where_it_was_seen_quick() -> None:
     for quick in (False, True):
         host = Host(servers=2, classes=(LONG,), proxies=200)
         host.report_lines(s0=4000, s1=200)
@@ -522,22 +522,22 @@
         assert host.controller._ready(server)
 
 
-def test_a_route_list_names_who_may_take_a_call_and_in_which_order() -> None:
+def test_route_list_limits_and_orders_the_servers_of_a_call() -> None:
     host = Host(servers=4, classes=(replace(BASIC, allowed=frozenset({0, 2, 3})),))
     assert sent_servers(host.new_call(1, first=3, candidates=(3, 1, 2))) == ["s3"]
-    # 1 is not the class's, 0 not the list's
+    # server 1 is not allowed for the class, server 0 not on the route list
     assert sent_servers(host.attempt_ended(1, "s3", api.Outcome.FULL)) == ["s2"]
     host.controller.servers["s3"].mark_until = host.controller.servers["s2"].mark_until = host.now + SECOND
-    assert sent_servers(host.new_call(2, first=3, candidates=(3, 2))) == []  # held, though s0 is free
+    assert sent_servers(host.new_call(2, first=3, candidates=(3, 2))) == []  # queued, though s0 is free
 
 
 @pytest.mark.parametrize("candidates", [(7,), (1,)])
-def test_a_list_without_a_server_that_may_take_it_is_refused_at_once(candidates: tuple[int, ...]) -> None:
+def test_call_whose_route_list_has_no_allowed_server_is_refused_at_once(candidates: tuple[int, ...]) -> None:
     host = Host(servers=3, classes=(replace(BASIC, allowed=frozenset({0, 2})),))
     assert isinstance(host.new_call(1, first=candidates[0], candidates=candidates)[-1], api.Refuse)
 
 
-def test_a_held_call_whose_list_loses_its_last_server_is_refused() -> None:
+def test_queued_call_whose_route_list_loses_its_last_server_is_refused() -> None:
     host = Host(servers=2)
     host.controller.servers["s1"].mark_until = host.now + 10 * SECOND
     assert not final_answers(host.new_call(1, first=1, candidates=(1,)))
