--- a/tests/test_softswitch.py
+++ b/tests/test_softswitch.py
@@ -1,6 +1,7 @@
-"""Stories over loopback sockets: the whole softswitch against scripted callers, setup servers and a bulletin.
+"""The whole softswitch over loopback sockets, against scripted callers, setup servers and a bulletin.
 
-One story for each failure met. Nothing sleeps and hopes: each step waits for what must come.
+One test for each failure that was found. No test relies on a fixed sleep: each step waits for its event.
+Other test files import the rig and the stand-ins from here.
 """
 
 from __future__ import annotations
@@ -50,7 +51,7 @@
 
 
 class Peer:
-    """One end of a connection, speaking messages."""
+    """The test's end of a connection to the softswitch, as a caller or as a setup server."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
@@ -62,18 +63,18 @@
         self.sock.sendall(b"".join(codec.encode(message) for message in messages))
 
     def hear(self, kind: type[Any], call: int | None = None) -> Any:
-        """The next message of this kind (and of this call); others are passed over."""
+        """The next message of this kind (and of this call); messages before it are dropped."""
         while True:
-            for place, message in enumerate(self.read):
+            for index, message in enumerate(self.read):
                 if isinstance(message, kind) and call in (None, message.call):
-                    del self.read[: place + 1]
+                    del self.read[: index + 1]
                     return message
             data = self.sock.recv(65536)
-            assert data, f"closed while waiting for {kind.__name__}"
+            assert data, f"connection closed while waiting for {kind.__name__}"
             self.read = [*self.read, *self.splitter.feed(data)]
 
     def ends(self) -> bool:
-        """Whether the softswitch closes the connection."""
+        """Read until the softswitch closes or resets the connection; raises TimeoutError if it does not."""
         try:
             while self.sock.recv(65536):
                 pass
@@ -87,7 +88,7 @@
 
 
 class Server:
-    """A setup server: says its state on each connection; the story does the rest."""
+    """Stand-in for a setup server: reports its state on each connection; the test does the rest."""
 
     def __init__(self, greet: bool = True) -> None:
         self.greet = greet
@@ -106,34 +107,37 @@
 
 
 class Bulletin:
-    """Tells the events after the number that it is asked for; holds a call for a while until there is one."""
+    """Stand-in for the bulletin: serves the list events after the requested number.
+
+    A request is held for up to 0.2 s until there is such an event.
+    """
 
     def __init__(self, port: int = 0) -> None:
         self.events: list[dict[str, Any]] = []
-        self.told = threading.Condition()
+        self.changed = threading.Condition()
         self.sock = socket.create_server(("127.0.0.1", port))
         self.dial = f"127.0.0.1:{self.sock.getsockname()[1]}"
-        self.number = 1  # the last: softswitches begin with that one as a rule
+        self.number = 1  # of the last event; softswitches usually start from this one
         threading.Thread(target=self.serve, daemon=True).start()
 
     def tell(self, *hosts: dict[str, Any], whole: bool = False) -> None:
-        with self.told:
+        with self.changed:
             self.number += 1
             roster = {"seq": 1, "whole": whole, "hosts": list(hosts)}
             self.events.append({"no": self.number, "roster": roster})
-            self.told.notify_all()
+            self.changed.notify_all()
 
     def after(self, number: int) -> list[dict[str, Any]]:
-        with self.told:
-            self.told.wait_for(lambda: self.number > number and self.events, timeout=0.2)
+        with self.changed:
+            self.changed.wait_for(lambda: self.number > number and self.events, timeout=0.2)
             return [event for event in self.events if event["no"] > number]
 
     def serve(self) -> None:
         while True:
             sock, _ = self.sock.accept()
             with sock:
-                while b"\r\n\r\n" in (asked := sock.recv(4096)):
-                    number = int(asked.split(b"after=")[1].split(b"&")[0])
+                while b"\r\n\r\n" in (request := sock.recv(4096)):
+                    number = int(request.split(b"after=")[1].split(b"&")[0])
                     items = self.after(number)
                     body = json.dumps({"no": items[-1]["no"] if items else number, "items": items})
                     sock.sendall(f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
@@ -146,21 +150,21 @@
 
 
 class Rig:
-    """A softswitch with its bulletin; a story adds servers and callers."""
+    """A softswitch in a thread, with its bulletin; the test adds servers and callers."""
 
     def __init__(self) -> None:
         self.bulletin = Bulletin()
         self.serial = 0xA0
         self.switch: Softswitch | None = None
 
-    def open(self, *hosts: dict[str, Any], replaced: dict[str, Any] | None = None, **more: Any) -> None:
-        """Start it, with `more` limits than the usual settings have, or with others in their place."""
+    def open(self, *hosts: dict[str, Any], replaced: dict[str, Any] | None = None, **limits: Any) -> None:
+        """Start the softswitch with `limits` on top of the usual settings, or with `replaced` as settings."""
         conf = json.loads(json.dumps(CONF))
         conf["classes"][0]["name"] = "voice"
         conf["classes"].append({**conf["classes"][0], "name": "video"})
         conf["family_info"]["allowed_pools"] = [[0, 1], [0, 1]]
         conf["family_info"]["release_ns"] = 200_000_000
-        conf["limits"].update({"dial_timeout_ns": 500_000_000, "probes": True, "max_open": 100, **more})
+        conf["limits"].update({"dial_timeout_ns": 500_000_000, "probes": True, "max_open": 100, **limits})
         conf["stats"] = {"columns": ["free", "size", "hold_back", "avg_ms"]}
         items = [{"no": 1, "roster": {"seq": 1, "whole": True, "hosts": list(hosts)}}] if hosts else []
         self.bulletin.number = len(items)
@@ -196,28 +200,31 @@
             self.rest(self.switch)
 
     def rest(self, switch: Softswitch) -> None:
-        """Lay two of its threads to rest, which end with a process only: hundreds of stories share this one,
-        and each would go on asking for the list five times a second and looking at connections twenty."""
+        """Block the bulletin thread and the common reader of a stopped softswitch.
+
+        Both end only with the process, which hundreds of tests share: each pair would go on polling the list
+        five times a second and checking connections twenty times a second.
+        """
         if switch.bulletin is not None:
             setattr(switch.bulletin, "poll_once", threading.Event().wait)  # noqa: B010
-        shut = threading.Lock()
-        shut.acquire()
-        switch.send.reader._lock = shut
+        held_lock = threading.Lock()
+        held_lock.acquire()
+        switch.send.reader._lock = held_lock
 
 
 @pytest.fixture
 def rig(monkeypatch: pytest.MonkeyPatch) -> Iterator[Rig]:
     monkeypatch.setattr(module, "MIN_STOP_TIME", 0)
-    made = Rig()
-    yield made
-    made.stop()
-    assert made.switch is not None
-    assert made.switch.shared.counters["faults"] == 0
+    new_rig = Rig()
+    yield new_rig
+    new_rig.stop()
+    assert new_rig.switch is not None
+    assert new_rig.switch.shared.counters["faults"] == 0
 
 
 @pytest.fixture
 def one(rig: Rig) -> tuple[Rig, Server, Peer, Peer]:
-    """One server, connected, and one caller."""
+    """A rig with one server, the server's connection and a caller."""
     server = Server()
     rig.open(list_line(server, "s-1"))
     return rig, server, server.accept(), rig.caller()
@@ -226,131 +233,136 @@
 One = tuple[Rig, Server, Peer, Peer]
 
 
-def set_up_call(rig: Rig, trunk: Peer, caller: Peer) -> int:
+def set_up_call(rig: Rig, server_peer: Peer, caller: Peer) -> int:
     call = rig.call(caller)
-    trunk.hear(SetUp, call)
-    trunk.say(Answer(call, b"accept"))
+    server_peer.hear(SetUp, call)
+    server_peer.say(Answer(call, b"accept"))
     caller.hear(Answer, call)
     return call
 
 
-def test_a_call_goes_on_unchanged_stands_and_comes_to_its_end(one: One) -> None:
-    rig, _, trunk, caller = one
+def test_call_is_relayed_unchanged_answered_and_released(one: One) -> None:
+    rig, _, server_peer, caller = one
     call = rig.call(caller, wait_ms=3000)
-    sent = trunk.hear(SetUp, call)
-    assert (sent.klass, sent.number, sent.description) == ("voice", "7f3a9c21e0b4d655", b"offer")
-    assert 2500 <= sent.wait_ms <= 3000
-    assert sent.first_choice == -1  # the caller's figures are not the server's business
-    trunk.say(Answer(call, b"accept \xff"))
+    set_up = server_peer.hear(SetUp, call)
+    assert (set_up.klass, set_up.number, set_up.description) == ("voice", "7f3a9c21e0b4d655", b"offer")
+    assert 2500 <= set_up.wait_ms <= 3000
+    assert set_up.first_choice == -1  # the caller's routing figures are not sent on to the server
+    server_peer.say(Answer(call, b"accept \xff"))
     assert caller.hear(Answer, call).description == b"accept \xff"
-    trunk.say(Release(call, Reason.CLEARED, report={"free": 899.0, "avg_ms": 2.5}))
+    server_peer.say(Release(call, Reason.CLEARED, report={"free": 899.0, "avg_ms": 2.5}))
     assert caller.hear(Release, call).reason is Reason.CLEARED
 
 
 @pytest.mark.parametrize(
-    ("ending", "then"),
+    ("release", "next_attempt"),
     [
-        (Release(0, Reason.FULL, Note.OVERLOAD), "s-2"),  # never ran: another takes it at once
+        (Release(0, Reason.FULL, Note.OVERLOAD), "s-2"),  # the call never ran: another server gets it at once
         (Release(0, Reason.FAULT), "s-2"),
-        (Release(0, Reason.INTERRUPTED), "s-1"),  # when its line is surely free: its mark is over too
-        (Release(0, Reason.BUSY, Note.LINES_BUSY), "caller"),  # busy by any other: refused
+        # The same server, after the release time of 200 ms: its skip mark is over by then.
+        (Release(0, Reason.INTERRUPTED), "s-1"),
+        (Release(0, Reason.BUSY, Note.LINES_BUSY), "caller"),  # the callee is busy at any server: refused
     ],
 )
-def test_a_failed_attempt_ends_in_another_or_in_one_refusal(rig: Rig, ending: Release, then: str) -> None:
+def test_failed_attempt_is_retried_or_refused_once(rig: Rig, release: Release, next_attempt: str) -> None:
     servers = [Server(), Server()]
     rig.open(list_line(servers[0], "s-1", 0), list_line(servers[1], "s-2", 1))
     first, second, caller = servers[0].accept(), servers[1].accept(), rig.caller()
     call = rig.call(caller)
     first.hear(SetUp, call)
-    at = time.monotonic()
-    first.say(Release(call, ending.reason, ending.note))
-    if then == "caller":
+    failed_at = time.monotonic()
+    first.say(Release(call, release.reason, release.note))
+    if next_attempt == "caller":
         refusal = caller.hear(Release, call)
         assert refusal.reason is Reason.CONGESTED
         assert refusal.stay_away_ms > 0
         return
-    taker = first if then == "s-1" else second
-    taker.hear(SetUp, call)
-    assert then == "s-2" or time.monotonic() - at >= 0.2
-    taker.say(Answer(call, b"accept"))
+    next_peer = first if next_attempt == "s-1" else second
+    next_peer.hear(SetUp, call)
+    assert next_attempt == "s-2" or time.monotonic() - failed_at >= 0.2
+    next_peer.say(Answer(call, b"accept"))
     caller.hear(Answer, call)
 
 
-def test_silence_ends_in_one_answer_before_the_caller_gives_up(one: One) -> None:
-    rig, _, trunk, caller = one
-    at = time.monotonic()
+def test_unanswered_call_fails_before_its_caller_gives_up(one: One) -> None:
+    rig, _, server_peer, caller = one
+    started_at = time.monotonic()
     call = rig.call(caller, wait_ms=400)
-    trunk.hear(SetUp, call)
+    server_peer.hear(SetUp, call)
     assert caller.hear(Release, call).reason is Reason.FAILED
-    assert time.monotonic() - at < 5
-    assert trunk.hear(Release, call).reason is Reason.CLEARED  # given up towards the server too
-    trunk.say(Answer(call, b"too late"))
-    other = set_up_call(rig, trunk, caller)
-    assert other != call  # and nothing about the first came in between
+    assert time.monotonic() - started_at < 5
+    # The attempt is released at the server too.
+    assert server_peer.hear(Release, call).reason is Reason.CLEARED
+    server_peer.say(Answer(call, b"too late"))
+    other_call = set_up_call(rig, server_peer, caller)
+    assert other_call != call  # nothing more about the first call follows
     assert not [message for message in caller.read if message.call == call]
 
 
-def test_a_caller_that_gives_up_is_owed_nothing_and_its_attempt_is_given_up(one: One) -> None:
-    rig, _, trunk, caller = one
+def test_release_by_the_caller_releases_its_attempt(one: One) -> None:
+    rig, _, server_peer, caller = one
     call = rig.call(caller)
-    trunk.hear(SetUp, call)
+    server_peer.hear(SetUp, call)
     caller.say(Release(call, Reason.CLEARED))
-    assert trunk.hear(Release, call).reason is Reason.CLEARED
+    assert server_peer.hear(Release, call).reason is Reason.CLEARED
 
 
-def test_a_caller_whose_connection_closes_has_left(one: One) -> None:
-    rig, _, trunk, caller = one
+def test_reset_of_the_callers_connection_releases_its_attempt(one: One) -> None:
+    rig, _, server_peer, caller = one
     call = rig.call(caller)
-    trunk.hear(SetUp, call)
+    server_peer.hear(SetUp, call)
     caller.reset()
-    assert trunk.hear(Release, call).reason is Reason.CLEARED
-
-
-def test_a_refused_connection_proves_that_nothing_ran(rig: Rig) -> None:
-    server, dead = Server(), Server()
-    dead.sock.close()
-    rig.open(list_line(dead, "s-0", 0), list_line(server, "s-1", 1))
-    trunk, caller = server.accept(), rig.caller()
-    set_up_call(rig, trunk, caller)
-
-
-def test_releases_come_and_go_on_any_connection_and_count_once(one: One) -> None:
-    rig, _, trunk, caller = one
-    call, other = set_up_call(rig, trunk, caller), set_up_call(rig, trunk, caller)
-    second = rig.caller()
-    second.say(Test(1))
-    second.hear(TestResult)
-    second.say(Release(call, Reason.CLEARED))  # hung up, on a connection that never knew the call
-    assert trunk.hear(Release, call).reason is Reason.CLEARED
-    caller.sock.close()  # written there or not, the release must be heard
-    trunk.say(Release(other, Reason.CLEARED), Release(other, Reason.CLEARED))  # a server repeats its own
-    second.hear(Release, other)
-    third = set_up_call(rig, trunk, second)
-    assert third
-    assert not [message for message in second.read if message.call == other]
-
-
-def test_a_release_waits_for_a_connection_if_none_is_open(one: One) -> None:
-    rig, _, trunk, caller = one
-    call = set_up_call(rig, trunk, caller)
+    assert server_peer.hear(Release, call).reason is Reason.CLEARED
+
+
+def test_refused_connect_is_retried_at_another_server(rig: Rig) -> None:
+    """A refused connect proves that the call never ran there, so that another attempt is safe."""
+    server, closed_server = Server(), Server()
+    closed_server.sock.close()
+    rig.open(list_line(closed_server, "s-0", 0), list_line(server, "s-1", 1))
+    server_peer, caller = server.accept(), rig.caller()
+    set_up_call(rig, server_peer, caller)
+
+
+def test_release_is_accepted_on_any_connection_and_relayed_once(one: One) -> None:
+    rig, _, server_peer, caller = one
+    call, other_call = set_up_call(rig, server_peer, caller), set_up_call(rig, server_peer, caller)
+    other_caller = rig.caller()
+    other_caller.say(Test(1))
+    other_caller.hear(TestResult)
+    other_caller.say(Release(call, Reason.CLEARED))  # released on a connection that never carried the call
+    assert server_peer.hear(Release, call).reason is Reason.CLEARED
+    caller.sock.close()  # whether or not it was written there, the release must arrive
+    # Servers repeat their releases.
+    server_peer.say(Release(other_call, Reason.CLEARED), Release(other_call, Reason.CLEARED))
+    other_caller.hear(Release, other_call)
+    third_call = set_up_call(rig, server_peer, other_caller)
+    assert third_call
+    assert not [message for message in other_caller.read if message.call == other_call]
+
+
+def test_release_is_held_until_a_caller_connects(one: One) -> None:
+    rig, _, server_peer, caller = one
+    call = set_up_call(rig, server_peer, caller)
     caller.sock.close()
     wait_for(lambda: rig.switch is not None and not rig.switch.shared.caller_links)
-    trunk.say(Release(call, Reason.CLEARED))
+    server_peer.say(Release(call, Reason.CLEARED))
     wait_for(lambda: rig.switch is not None and bool(rig.switch.book.unsent))
-    front, second = rig.caller(), rig.caller()
-    front.say(Test(1))
-    front.hear(TestResult)
-    assert not front.read  # a test's connection is no caller's
-    rig.call(second)
-    assert second.hear(Release, call).reason is Reason.CLEARED
+    tester, new_caller = rig.caller(), rig.caller()
+    tester.say(Test(1))
+    tester.hear(TestResult)
+    assert not tester.read  # a connection that only sent a Test is no caller's
+    rig.call(new_caller)
+    assert new_caller.hear(Release, call).reason is Reason.CLEARED
 
 
 @pytest.mark.parametrize("confirmed", [False, True])
-def test_a_release_that_met_a_closing_connection_goes_out_on_another(one: One, confirmed: bool) -> None:
-    rig, _, trunk, caller = one
-    call, second = set_up_call(rig, trunk, caller), rig.caller()
-    set_up_call(rig, trunk, second)
-    trunk.say(Release(call, Reason.CLEARED))
+def test_unconfirmed_release_is_sent_again_when_its_connection_closes(one: One, confirmed: bool) -> None:
+    """A release written to a connection that is being closed may never be read by the caller."""
+    rig, _, server_peer, caller = one
+    call, other_caller = set_up_call(rig, server_peer, caller), rig.caller()
+    set_up_call(rig, server_peer, other_caller)
+    server_peer.say(Release(call, Reason.CLEARED))
     caller.hear(Release, call)
     if confirmed:
         caller.say(ReleaseComplete(call))
@@ -359,95 +371,98 @@
     wait_for(lambda: rig.switch is not None and len(rig.switch.shared.caller_links) == 1)
     assert rig.switch.shared.counters["releases_sent_again"] == (not confirmed)
     if not confirmed:
-        second.hear(Release, call)
+        other_caller.hear(Release, call)
 
 
-def test_a_release_of_a_former_life_is_passed_on(one: One) -> None:
-    rig, _, trunk, caller = one
-    set_up_call(rig, trunk, caller)
-    trunk.say(Release(0xBEEF, Reason.CLEARED))
+def test_server_release_of_a_call_from_before_a_restart_is_relayed(one: One) -> None:
+    rig, _, server_peer, caller = one
+    set_up_call(rig, server_peer, caller)
+    server_peer.say(Release(0xBEEF, Reason.CLEARED))
     assert caller.hear(Release).call == 0xBEEF
 
 
-@pytest.mark.parametrize("how", ["died", "gone", "restarted"])
-def test_calls_of_a_server_that_is_no_more_are_cut_towards_their_callers(one: One, how: str) -> None:
-    rig, server, trunk, caller = one
-    call = set_up_call(rig, trunk, caller)
-    if how == "died":  # reset, and then nobody listens
+@pytest.mark.parametrize("loss", ["crashed", "gone", "restarted"])
+def test_calls_of_a_lost_server_are_released_as_interrupted(one: One, loss: str) -> None:
+    rig, server, server_peer, caller = one
+    call = set_up_call(rig, server_peer, caller)
+    if loss == "crashed":  # connection reset, and then connects are refused
         server.sock.close()
-        trunk.reset()
-    elif how == "gone":
+        server_peer.reset()
+    elif loss == "gone":
         rig.bulletin.tell(list_line(server, "s-1", health="Gone"))
-    else:  # vanished and came back, the old connection still open
+    else:  # restarted, with the old connection still open
         rig.bulletin.tell(list_line(server, "s-1", born=time.time_ns() // 1_000_000 + 2))
     assert caller.hear(Release, call).reason is Reason.INTERRUPTED
-    if how == "restarted":
+    if loss == "restarted":
         set_up_call(rig, server.accept(), caller)
 
 
-def test_a_lost_connection_cuts_no_call_that_stands(one: One) -> None:
-    rig, server, trunk, caller = one
-    call = set_up_call(rig, trunk, caller)
-    trunk.reset()
-    again = server.accept()
-    again.say(Release(call, Reason.CLEARED))
+def test_reset_of_a_server_connection_keeps_answered_calls(one: One) -> None:
+    rig, server, server_peer, caller = one
+    call = set_up_call(rig, server_peer, caller)
+    server_peer.reset()
+    new_peer = server.accept()
+    new_peer.say(Release(call, Reason.CLEARED))
     assert caller.hear(Release, call).reason is Reason.CLEARED
 
 
-def test_a_connection_made_to_the_new_process_outlives_the_news_of_its_start(one: One) -> None:
-    rig, server, trunk, caller = one
-    born = time.time_ns() // 1_000_000 - 1
-    trunk.reset()
-    again = server.accept()
+def test_connection_to_a_restarted_server_survives_the_late_list_update(one: One) -> None:
+    """The bulletin may report a restart after the softswitch has connected to the new process."""
+    rig, server, server_peer, caller = one
+    born_ms = time.time_ns() // 1_000_000 - 1
+    server_peer.reset()
+    new_peer = server.accept()
     call = rig.call(caller)
-    again.hear(SetUp, call)
-    rig.bulletin.tell(list_line(server, "s-1", born=born))
+    new_peer.hear(SetUp, call)
+    rig.bulletin.tell(list_line(server, "s-1", born=born_ms))
     wait_for(lambda: rig.switch is not None and rig.switch.shared.servers["s-1"].born > 0)
-    again.say(Answer(call, b"accept"))
+    new_peer.say(Answer(call, b"accept"))
     caller.hear(Answer, call)
 
 
-def test_an_address_may_be_a_newcomers_later(one: One) -> None:
+def test_new_server_may_reuse_the_address_of_a_gone_one(one: One) -> None:
     rig, server, _, caller = one
     rig.bulletin.tell(list_line(server, "s-1", health="Gone"), list_line(server, "s-2"))
     set_up_call(rig, server.accept(), caller)
 
 
-@pytest.mark.parametrize("broken", ["", "{", "[]", '{"name": "n0"}'])
-def test_a_reload_moves_the_bulletin_and_drops_nothing(one: One, broken: str) -> None:
-    rig, _, trunk, caller = one
+@pytest.mark.parametrize("invalid_text", ["", "{", "[]", '{"name": "n0"}'])
+def test_reload_changes_the_bulletin_address_and_keeps_open_calls(one: One, invalid_text: str) -> None:
+    rig, _, server_peer, caller = one
     assert rig.switch is not None
-    call, whole = rig.call(caller), rig.text
-    trunk.hear(SetUp, call)
-    counts = rig.switch.shared.counters
-    away = [whole.replace(rig.bulletin.dial, dial) for dial in ("nowhere", "127.0.0.1:99999")]
-    for text in (broken, *away):
-        before, rig.text = counts["reloads_failed"], text
+    call, valid_text = rig.call(caller), rig.text
+    server_peer.hear(SetUp, call)
+    counters = rig.switch.shared.counters
+    invalid_address_texts = [
+        valid_text.replace(rig.bulletin.dial, address) for address in ("nowhere", "127.0.0.1:99999")
+    ]
+    for text in (invalid_text, *invalid_address_texts):
+        failures_before, rig.text = counters["reloads_failed"], text
         rig.switch.reload_requested = True
-        while counts["reloads_failed"] == before:
-            time.sleep(0.005)  # what cannot be read changes nothing
-    old, rig.bulletin, newcomer = rig.bulletin, Bulletin(), Server()
-    rig.bulletin.number = old.number  # the numbering goes on
-    rig.text = whole.replace(old.dial, rig.bulletin.dial)
+        while counters["reloads_failed"] == failures_before:
+            time.sleep(0.005)  # an unreadable configuration changes nothing
+    old_bulletin, rig.bulletin, new_server = rig.bulletin, Bulletin(), Server()
+    rig.bulletin.number = old_bulletin.number  # event numbers go on from those of the old bulletin
+    rig.text = valid_text.replace(old_bulletin.dial, rig.bulletin.dial)
     rig.switch.reload_requested = True
-    rig.bulletin.tell(list_line(newcomer, "s-2", 1))
-    newcomer.accept()
-    trunk.say(Answer(call, b"accept"))
+    rig.bulletin.tell(list_line(new_server, "s-2", 1))
+    new_server.accept()
+    server_peer.say(Answer(call, b"accept"))
     caller.hear(Answer, call)
 
 
-def test_nothing_goes_to_a_draining_server(one: One) -> None:
-    rig, server, trunk, caller = one
-    call = set_up_call(rig, trunk, caller)
+def test_draining_server_gets_no_new_calls_and_keeps_its_own(one: One) -> None:
+    rig, server, server_peer, caller = one
+    call = set_up_call(rig, server_peer, caller)
     rig.bulletin.tell(list_line(server, "s-1", health="Terminating"))
     wait_for(lambda: rig.switch is not None and not rig.switch.route.controller.active)
-    refused = rig.call(caller)
-    assert caller.hear(Release, refused).reason is Reason.CONGESTED
-    trunk.say(Release(call, Reason.CLEARED))  # and yet what stands there is heard
+    refused_call = rig.call(caller)
+    assert caller.hear(Release, refused_call).reason is Reason.CONGESTED
+    server_peer.say(Release(call, Reason.CLEARED))  # messages about its answered calls are still relayed
     caller.hear(Release, call)
 
 
-def test_the_test_passes_only_once_the_list_is_known(rig: Rig) -> None:
+def test_health_check_passes_only_once_the_pool_list_is_known(rig: Rig) -> None:
     rig.open()
     caller, server = rig.caller(), Server()
     caller.say(Test(7))
@@ -462,46 +477,47 @@
 
 
 @pytest.mark.parametrize(
-    "junk",
+    "malformed_bytes",
     [
-        HEAD.pack(3, 1, 7),  # shorter than its own head
+        HEAD.pack(3, 1, 7),  # a length below that of the header
         HEAD.pack(60000, 1, 7),  # over 16 KiB
         HEAD.pack(9, 12, 7),  # a release without a cause
-        HEAD.pack(10, 1, 7) + b"\x40",  # a parameter cut off in its head
-        HEAD.pack(13, 1, 7) + b"\x40\x00\x09x",  # and in its value
+        HEAD.pack(10, 1, 7) + b"\x40",  # a parameter truncated in its header
+        HEAD.pack(13, 1, 7) + b"\x40\x00\x09x",  # a parameter truncated in its value
         HEAD.pack(14, 1, 7) + b"\x41\x00\x02-1",
         HEAD.pack(13, 1, 7) + b"\x40\x00\x01\xff",
         HEAD.pack(15, 1, 7) + b"\x45\x00\x03a:b",
         HEAD.pack(16, 1, 7) + b"\x45\x00\x04dest",
         HEAD.pack(14, 12, 7) + b"\x4e\x00\x02\x10\x10",
         HEAD.pack(41, 1, 7) + b"\x41\x00\x1d" + b"9" * 29,
-        HEAD.pack(276, 12, 7) + b"\x4e\x00\x01\x10" + b"\x49\x01\x04" + b"a:1;" * 65,  # a dict of far more
+        # Over 64 figures in a parameter: parsed, they take far more memory than the message.
+        HEAD.pack(276, 12, 7) + b"\x4e\x00\x01\x10" + b"\x49\x01\x04" + b"a:1;" * 65,
     ],
 )
-def test_malformed_input_costs_its_own_connection_and_no_other(one: One, junk: bytes) -> None:
-    rig, _, trunk, caller = one
-    bad = rig.caller()
-    bad.sock.sendall(junk)
-    assert bad.ends()
-    set_up_call(rig, trunk, caller)
+def test_malformed_input_closes_only_its_own_connection(one: One, malformed_bytes: bytes) -> None:
+    rig, _, server_peer, caller = one
+    bad_caller = rig.caller()
+    bad_caller.sock.sendall(malformed_bytes)
+    assert bad_caller.ends()
+    set_up_call(rig, server_peer, caller)
     wait_for(lambda: rig.switch is not None and rig.switch.shared.counters["malformed"] == 1)
 
 
 @pytest.mark.parametrize(("klass", "wait_ms"), [("fax", 1000), ("", 1000), ("voice", 0)])
-def test_a_set_up_that_makes_no_sense_is_answered_at_once(one: One, klass: str, wait_ms: int) -> None:
+def test_unknown_class_or_zero_wait_is_released_as_malformed(one: One, klass: str, wait_ms: int) -> None:
     rig, _, _, caller = one
     call = rig.call(caller, wait_ms, klass)
     assert caller.hear(Release, call).reason is Reason.MALFORMED
 
 
-def test_figures_that_are_no_numbers_harm_nothing(one: One) -> None:
-    rig, _, trunk, caller = one
-    trunk.say(GroupState(0, {"free": float("nan"), "size": float("inf"), "avg_ms": float("-inf")}))
-    set_up_call(rig, trunk, caller)
+def test_nan_and_infinite_figures_in_a_report_are_harmless(one: One) -> None:
+    rig, _, server_peer, caller = one
+    server_peer.say(GroupState(0, {"free": float("nan"), "size": float("inf"), "avg_ms": float("-inf")}))
+    set_up_call(rig, server_peer, caller)
 
 
 @pytest.mark.parametrize(
-    "wrong",
+    "invalid_fields",
     [
         {"call": 0},
         {"wait_ms": 2_000_000_000},
@@ -515,90 +531,98 @@
     ],
     ids=str,
 )
-def test_what_no_server_could_use_reaches_none(one: One, wrong: dict[str, Any]) -> None:
-    rig, _, trunk, caller = one
+def test_set_up_with_invalid_fields_is_refused_and_its_connection_closed(
+    one: One, invalid_fields: dict[str, Any]
+) -> None:
+    rig, _, server_peer, caller = one
     fields = {"call": 7, "klass": "voice", "wait_ms": 5000, "number": "7f3a9c21e0b4d655", "first_choice": 0}
-    made = SetUp(**{**fields, "description": b"offer", **wrong})
-    figures = b"dest:%d;width:%d;via:-1" % (made.first_choice, made.width)
-    plain = codec.encode(replace(made, first_choice=-1))[2:] + b"\x45\x00%c" % len(figures) + figures
-    bad = rig.caller()
-    bad.sock.sendall(len(plain).to_bytes(2, "big") + plain)
-    assert bad.hear(Release, made.call).reason is Reason.MALFORMED
-    assert bad.ends()
-    assert set_up_call(rig, trunk, caller) != made.call  # and nothing came to the server before that
+    set_up = SetUp(**{**fields, "description": b"offer", **invalid_fields})
+    routing_figures = b"dest:%d;width:%d;via:-1" % (set_up.first_choice, set_up.width)
+    body = (
+        codec.encode(replace(set_up, first_choice=-1))[2:]
+        + b"\x45\x00%c" % len(routing_figures)
+        + routing_figures
+    )
+    bad_caller = rig.caller()
+    bad_caller.sock.sendall(len(body).to_bytes(2, "big") + body)
+    assert bad_caller.hear(Release, set_up.call).reason is Reason.MALFORMED
+    assert bad_caller.ends()
+    assert set_up_call(rig, server_peer, caller) != set_up.call  # other callers are still served
 
 
-def test_a_wait_that_was_rounded_up_is_no_nonsense(one: One) -> None:
-    rig, _, trunk, caller = one
-    trunk.hear(SetUp, rig.call(caller, wait_ms=module.DEFAULT_MAX_WAIT // module.MS + 1))
+def test_wait_rounded_up_past_the_maximum_is_accepted(one: One) -> None:
+    """A caller that rounds the maximum wait up to whole milliseconds exceeds it by 1 ms."""
+    rig, _, server_peer, caller = one
+    server_peer.hear(SetUp, rig.call(caller, wait_ms=module.DEFAULT_MAX_WAIT // module.MS + 1))
 
 
 @pytest.mark.parametrize("same_connection", [False, True])
-def test_a_second_set_up_under_an_open_id_takes_nothing_over(one: One, same_connection: bool) -> None:
-    rig, _, trunk, caller = one
+def test_set_up_with_the_id_of_an_open_call_does_not_take_it_over(one: One, same_connection: bool) -> None:
+    rig, _, server_peer, caller = one
     call = rig.call(caller)
-    trunk.hear(SetUp, call)
-    bad = caller if same_connection else rig.caller()
-    bad.say(SetUp(call, "voice", 5000, "0000000000000000", b"another", first_choice=0))
+    server_peer.hear(SetUp, call)
+    bad_caller = caller if same_connection else rig.caller()
+    bad_caller.say(SetUp(call, "voice", 5000, "0000000000000000", b"another", first_choice=0))
     if same_connection:
-        assert bad.ends()  # two answers to one id would say nothing: it has left
-        assert trunk.hear(Release, call).reason is Reason.CLEARED
+        assert bad_caller.ends()  # two answers to one id would be ambiguous: the caller is closed
+        assert server_peer.hear(Release, call).reason is Reason.CLEARED
         return
-    assert bad.hear(Release, call).reason is Reason.MALFORMED
-    bad.say(Release(call, Reason.CLEARED))  # nor may it give up what is another's
-    trunk.say(Answer(call, b"accept"))
+    assert bad_caller.hear(Release, call).reason is Reason.MALFORMED
+    bad_caller.say(Release(call, Reason.CLEARED))  # nor may it release another caller's call
+    server_peer.say(Answer(call, b"accept"))
     assert caller.hear(Answer, call).description == b"accept"
 
 
-@pytest.mark.parametrize("begun", [b"", codec.encode(SetUp(1, "voice", 9, "7", b"offer"))[:20]])
-def test_a_caller_that_is_silent_or_stops_short_is_closed(
-    one: One, monkeypatch: pytest.MonkeyPatch, begun: bytes
+@pytest.mark.parametrize("sent_bytes", [b"", codec.encode(SetUp(1, "voice", 9, "7", b"offer"))[:20]])
+def test_caller_that_sends_nothing_or_part_of_a_message_is_closed(
+    one: One, monkeypatch: pytest.MonkeyPatch, sent_bytes: bytes
 ) -> None:
-    rig, _, trunk, caller = one
-    set_up_call(rig, trunk, caller)  # and one that has spoken may be silent
+    rig, _, server_peer, caller = one
+    set_up_call(rig, server_peer, caller)  # a caller that has sent a message may be silent
     monkeypatch.setattr(links, "FIRST_BYTE_TIMEOUT_MS", 50)
     monkeypatch.setattr(links, "MESSAGE_TIMEOUT_MS", 50)
     monkeypatch.setattr(links, "FIRST_MESSAGE_TIMEOUT_MS", 100)
-    bad = rig.caller()
-    bad.sock.sendall(begun)
-    assert bad.ends()
-    set_up_call(rig, trunk, caller)
+    bad_caller = rig.caller()
+    bad_caller.sock.sendall(sent_bytes)
+    assert bad_caller.ends()
+    set_up_call(rig, server_peer, caller)
 
 
-def test_callers_that_hold_their_connections_keep_nobody_out(one: One) -> None:
-    rig, _, trunk, caller = one
+def test_silent_callers_are_closed_to_make_room_for_new_ones(one: One) -> None:
+    rig, _, server_peer, caller = one
     assert rig.switch is not None
-    set_up_call(rig, trunk, caller)
+    set_up_call(rig, server_peer, caller)
     rig.switch.shared.caller_limit = 4
-    idle = [rig.caller() for _ in range(40)]
-    set_up_call(rig, trunk, rig.caller())
-    assert idle[0].ends()
+    idle_callers = [rig.caller() for _ in range(40)]
+    set_up_call(rig, server_peer, rig.caller())
+    assert idle_callers[0].ends()
     wait_for(lambda: rig.switch is not None and len(rig.switch.shared.caller_links) <= 4)
 
 
-def test_callers_that_asked_once_and_stay_do_not_shut_the_door_to_newcomers(
+def test_idle_callers_are_closed_before_a_new_one_that_has_sent_nothing(
     one: One, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    rig, _, trunk, _ = one
+    rig, _, server_peer, _ = one
     assert rig.switch is not None
-    stayed = [rig.caller() for _ in range(4)]
-    for caller in stayed:
-        set_up_call(rig, trunk, caller)
+    idle_callers = [rig.caller() for _ in range(4)]
+    for caller in idle_callers:
+        set_up_call(rig, server_peer, caller)
     monkeypatch.setattr(module, "EVICTABLE_IDLE", 0)
     rig.switch.shared.caller_limit = 4
-    newcomer, counts = rig.caller(), rig.switch.shared.counters
-    wait_for(lambda: counts["callers_closed_for_room"] > 0)
-    set_up_call(rig, trunk, newcomer)  # it had not spoken yet when room was made
-    assert stayed[0].ends()
+    new_caller, counters = rig.caller(), rig.switch.shared.counters
+    wait_for(lambda: counters["callers_closed_for_room"] > 0)
+    set_up_call(rig, server_peer, new_caller)  # it had sent nothing when the others were closed
+    assert idle_callers[0].ends()
 
 
-def test_a_callers_connection_with_something_unread_is_not_closed_for_room(one: One) -> None:
-    rig, _, trunk, caller = one
-    set_up_call(rig, trunk, caller)
+def test_caller_connection_counts_as_unread_until_the_loop_has_processed_its_input(one: One) -> None:
+    """Closed for room or as idle, a connection with unread input would lose a set-up."""
+    rig, _, server_peer, caller = one
+    set_up_call(rig, server_peer, caller)
     assert rig.switch is not None
     (link,) = rig.switch.shared.caller_links
     assert not link.has_unread()
-    link.inbox = SimpleQueue()  # the loop is late
+    link.inbox = SimpleQueue()  # the loop does not get its messages
     rig.call(caller)
     wait_for(link.has_unread)
     link.inbox.get(timeout=TIMEOUT_S)
@@ -608,55 +632,57 @@
     assert not link.has_unread()
 
 
-def test_a_callers_connection_is_closed_when_it_has_had_no_call_for_long(
+def test_caller_connection_without_a_call_is_closed_after_the_idle_timeout(
     one: One, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    rig, _, trunk, caller = one
-    call = set_up_call(rig, trunk, caller)
+    rig, _, server_peer, caller = one
+    call = set_up_call(rig, server_peer, caller)
     monkeypatch.setattr(module, "IDLE_TIMEOUT", 0)
-    other = rig.caller()
-    other.say(Test(1))
-    assert other.ends()
-    trunk.say(Release(call, Reason.CLEARED))  # but not while a call stands that came on it
+    idle_caller = rig.caller()
+    idle_caller.say(Test(1))
+    assert idle_caller.ends()
+    server_peer.say(Release(call, Reason.CLEARED))  # a connection whose call still stands stays open
     caller.hear(Release, call)
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "malformed_bytes",
     [
-        codec.encode(Answer(0, b"accept"))[:-3],  # stops short: what follows would be taken for the rest
-        HEAD.pack(9, 9, 0),  # an answer without its description
-        HEAD.pack(9, 99, 0),  # a type that is none
-        codec.encode(SetUp(1, "voice", 9, "7", b"offer")),  # and one that no server sends
+        codec.encode(Answer(0, b"accept"))[:-3],  # truncated: what follows would be read as its rest
+        HEAD.pack(9, 9, 0),  # an answer without a description
+        HEAD.pack(9, 99, 0),  # an unknown message type
+        codec.encode(SetUp(1, "voice", 9, "7", b"offer")),  # a message that no server sends
     ],
 )
-def test_what_a_server_spoils_ends_its_connection_and_all_that_is_out_there(one: One, spoilt: bytes) -> None:
-    rig, server, trunk, caller = one
-    call, other = rig.call(caller), rig.call(caller)
-    trunk.hear(SetUp, call), trunk.hear(SetUp, other)
-    trunk.sock.sendall(spoilt[:3] + call.to_bytes(8, "big") + spoilt[11:])
-    assert trunk.ends()
-    again = server.accept()
-    for number in (call, other):
-        again.hear(SetUp, number)
-        again.say(Answer(number, b"accept"))
-        caller.hear(Answer, number)
-
-
-def test_a_peer_that_does_not_read_is_closed_and_blocks_nobody(one: One) -> None:
-    rig, _, trunk, caller = one
-    deaf = rig.caller()
-    deaf.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+def test_malformed_server_message_ends_the_connection_and_its_attempts(
+    one: One, malformed_bytes: bytes
+) -> None:
+    rig, server, server_peer, caller = one
+    call, other_call = rig.call(caller), rig.call(caller)
+    server_peer.hear(SetUp, call), server_peer.hear(SetUp, other_call)
+    server_peer.sock.sendall(malformed_bytes[:3] + call.to_bytes(8, "big") + malformed_bytes[11:])
+    assert server_peer.ends()
+    new_peer = server.accept()
+    for open_call in (call, other_call):
+        new_peer.hear(SetUp, open_call)
+        new_peer.say(Answer(open_call, b"accept"))
+        caller.hear(Answer, open_call)
+
+
+def test_peer_that_does_not_read_is_closed_and_blocks_no_other(one: One) -> None:
+    rig, _, server_peer, caller = one
+    stalled_caller = rig.caller()
+    stalled_caller.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     assert rig.switch is not None
     wait_for(lambda: rig.switch is not None and len(rig.switch.shared.caller_links) == 2)
     link = list(rig.switch.shared.caller_links)[-1]
     while link.send(Answer(1, b"x" * 16000)):
-        pass  # bounded: the outbox is
-    assert deaf.ends()
-    set_up_call(rig, trunk, caller)
+        pass  # ends because the outbox is bounded
+    assert stalled_caller.ends()
+    set_up_call(rig, server_peer, caller)
 
 
-def test_a_server_that_slams_the_door_is_not_dialled_without_end(rig: Rig) -> None:
+def test_server_that_resets_each_connection_is_redialled_with_backoff(rig: Rig) -> None:
     server = Server(greet=False)
     rig.open(list_line(server, "s-1"))
     for _ in range(3):
@@ -666,94 +692,96 @@
     assert rig.switch.shared.counters["dials"] <= 4
 
 
-def test_a_silent_address_ends_in_another_attempt_within_the_dial_timeout(
+def test_unanswered_connect_is_retried_at_another_server_after_the_dial_timeout(
     rig: Rig, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    dialled: list[Any] = []
-    real = links.dial
+    dial_timeouts: list[Any] = []
+    real_dial = links.dial
 
-    def dial(where: str, timeout: int, inbox: Any, owner: Any, reader: links.Reader) -> None:
-        if owner.host == "s-0":  # a connect that never comes up: the kernel says so when the time is over
-            dialled.append(timeout)
+    def dial(address: str, timeout: int, inbox: Any, owner: Any, reader: links.Reader) -> None:
+        if owner.host == "s-0":  # a connect without an answer: the kernel reports the time-out
+            dial_timeouts.append(timeout)
             inbox.put(links.DialFailed(owner, refused=False))
         else:
-            real(where, timeout, inbox, owner, reader)
+            real_dial(address, timeout, inbox, owner, reader)
 
     monkeypatch.setattr(links, "dial", dial)
     server = Server()
     rig.open(list_line(Server(), "s-0", 0), list_line(server, "s-1", 1))
     set_up_call(rig, server.accept(), rig.caller())
-    assert set(dialled) == {500_000}
+    assert set(dial_timeouts) == {500_000}
 
 
-def test_after_the_signal_what_was_taken_is_answered_before_the_end(
+def test_calls_taken_in_around_the_stop_request_are_answered_before_the_end(
     one: One, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    rig, _, trunk, caller = one
+    rig, _, server_peer, caller = one
     monkeypatch.setattr(module, "MIN_STOP_TIME", 300_000)
     call = rig.call(caller)
-    trunk.hear(SetUp, call)
+    server_peer.hear(SetUp, call)
     assert rig.switch is not None
     rig.switch.stop_requested = True
     wait_for(lambda: rig.switch is not None and rig.switch.shared.stopping_at > 0)
-    newcomer = rig.caller()
-    late = rig.call(newcomer)  # the front has not noticed yet
-    trunk.hear(SetUp, late)
-    trunk.say(Answer(late, b"accept"), Answer(call, b"accept"))
+    new_caller = rig.caller()
+    late_call = rig.call(new_caller)  # the load balancer in front has not seen a failed health check yet
+    server_peer.hear(SetUp, late_call)
+    server_peer.say(Answer(late_call, b"accept"), Answer(call, b"accept"))
     caller.hear(Answer, call)
-    newcomer.hear(Answer, late)
+    new_caller.hear(Answer, late_call)
     rig.thread.join(TIMEOUT_S)
     assert not rig.thread.is_alive()
 
 
-def wait_for(met: Callable[[], bool]) -> None:
-    until = time.monotonic() + TIMEOUT_S
-    while not met():
-        assert time.monotonic() < until, "it never came to that"
+def wait_for(condition: Callable[[], bool]) -> None:
+    deadline = time.monotonic() + TIMEOUT_S
+    while not condition():
+        assert time.monotonic() < deadline, "condition not met within the time-out"
         time.sleep(0.005)
 
 
-def test_the_example_serves_a_call_by_hand_and_ends_on_the_signal(tmp_path: Path) -> None:
+def test_example_configuration_serves_a_command_line_call_and_ends_on_sigterm(tmp_path: Path) -> None:
     root = Path(__file__).parent.parent
     running: list[subprocess.Popen[str]] = []
 
     def start(*command: str) -> tuple[subprocess.Popen[str], str]:
-        made = subprocess.Popen(
+        started = subprocess.Popen(
             [sys.executable, "-m", *command],
             stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True, cwd=root,
         )  # fmt: skip
-        running.append(made)
-        assert made.stdout is not None
-        return made, made.stdout.readline()
+        running.append(started)
+        assert started.stdout is not None
+        return started, started.stdout.readline()
 
-    def by_hand(*command: str) -> subprocess.CompletedProcess[str]:
+    def run_command(*command: str) -> subprocess.CompletedProcess[str]:
         return subprocess.run(
             [sys.executable, "-m", "wickstep", *command], capture_output=True, text=True, cwd=root
         )
 
     try:
-        _, said = start("examples.toy_server", "--port", "0", "--bulletin-port", "0", "--stands-s", "0.1")
+        _, first_line = start(
+            "examples.toy_server", "--port", "0", "--bulletin-port", "0", "--stands-s", "0.1"
+        )
         config = json.loads((root / "examples" / "config.json").read_text())
-        config.update(listen="127.0.0.1:0", bulletin=said.split()[-1])
+        config.update(listen="127.0.0.1:0", bulletin=first_line.split()[-1])
         (tmp_path / "config.json").write_text(json.dumps(config))
-        switch, said = start("wickstep", "serve", "--config", str(tmp_path / "config.json"))
-        to = ("--to", said.split()[-1])
-        wait_for(lambda: by_hand("test", *to).returncode == 0)
-        heard = by_hand("call", *to).stdout.splitlines()
-        assert heard[0].startswith("Answer")
-        assert "CLEARED" in heard[1]
+        switch, first_line = start("wickstep", "serve", "--config", str(tmp_path / "config.json"))
+        target = ("--to", first_line.split()[-1])
+        wait_for(lambda: run_command("test", *target).returncode == 0)
+        call_output = run_command("call", *target).stdout.splitlines()
+        assert call_output[0].startswith("Answer")
+        assert "CLEARED" in call_output[1]
         assert switch.stdout is not None
-        lines = switch.stdout
+        output_lines = switch.stdout
 
-        def counted(asked: signal.Signals = signal.SIGUSR1) -> dict[str, int]:
-            switch.send_signal(asked)
-            found: dict[str, int] = json.loads(next(text for text in lines if text.startswith("{")))
-            return found  # log lines are passed over
+        def read_counters(signal_number: signal.Signals = signal.SIGUSR1) -> dict[str, int]:
+            switch.send_signal(signal_number)
+            counters: dict[str, int] = json.loads(next(text for text in output_lines if text.startswith("{")))
+            return counters  # log lines are skipped
 
-        assert counted()["answered_stands"] == 1
-        switch.send_signal(signal.SIGHUP)  # its default would end the process
-        wait_for(lambda: counted().get("reloads") == 1)
-        assert counted(signal.SIGTERM)["taken_in"] == 1
+        assert read_counters()["answered_stands"] == 1
+        switch.send_signal(signal.SIGHUP)  # its default action would end the process
+        wait_for(lambda: read_counters().get("reloads") == 1)
+        assert read_counters(signal.SIGTERM)["taken_in"] == 1
         assert switch.wait(TIMEOUT_S) == 0
     finally:
         for process in running:
@@ -764,258 +792,264 @@
 
 
 @pytest.mark.parametrize("refused", [False, True])
-def test_calls_are_cut_where_a_machine_has_vanished_and_not_where_a_server_takes_no_newcomers(
+def test_calls_are_cut_if_the_machine_vanished_but_not_if_it_refuses_connections(
     one: One, monkeypatch: pytest.MonkeyPatch, refused: bool
 ) -> None:
-    rig, _, trunk, caller = one
-    call = set_up_call(rig, trunk, caller)
+    """A draining server refuses new connections and still serves the calls on its open one."""
+    rig, _, server_peer, caller = one
+    call = set_up_call(rig, server_peer, caller)
     dials: list[Any] = []
 
-    def dial(where: str, timeout: int, inbox: Any, owner: Any, *_: Any) -> None:
+    def dial(address: str, timeout: int, inbox: Any, owner: Any, *_: Any) -> None:
         dials.append(owner)
         inbox.put(links.DialFailed(owner, refused))
 
-    # Nothing is said, and no new connection comes up. No time need pass for it.
+    # The server is silent and no new connection comes up; with time-outs of 0 the test need not wait.
     monkeypatch.setattr(links, "dial", dial)
     monkeypatch.setattr(module, "SILENCE_TIMEOUT", 0)
     monkeypatch.setattr(module, "VANISHED_TIMEOUT", 0)
     if refused:
-        wait_for(lambda: len(dials) > 1)  # a second one: the first has been dealt with
-        trunk.say(Release(call, Reason.CLEARED))
+        wait_for(lambda: len(dials) > 1)  # at the second dial the failure of the first is processed
+        server_peer.say(Release(call, Reason.CLEARED))
     assert caller.hear(Release, call).reason is (Reason.CLEARED if refused else Reason.INTERRUPTED)
 
 
-def test_a_silent_connection_is_replaced_once_a_set_up_has_failed_on_it(
+def test_silent_connection_is_replaced_after_a_set_up_failed_on_it(
     one: One, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    rig, server, trunk, caller = one
+    rig, server, server_peer, caller = one
     monkeypatch.setattr(module, "SILENCE_TIMEOUT", 200_000)
-    set_up_call(rig, trunk, caller)
+    set_up_call(rig, server_peer, caller)
     call = rig.call(caller, wait_ms=400)
     caller.hear(Release, call)
-    again = server.accept()  # the old one stays open and silent: a machine that was cut off and came back
+    new_peer = server.accept()  # the old one stays open and silent, as after a network outage
     monkeypatch.setattr(module, "SILENCE_TIMEOUT", 10**9)
-    set_up_call(rig, again, caller)
-    assert trunk.ends()
+    set_up_call(rig, new_peer, caller)
+    assert server_peer.ends()
 
 
-def test_a_connection_that_went_dumb_is_replaced_before_its_calls_are_late(one: One) -> None:
-    rig, server, trunk, caller = one
-    set_up_call(rig, trunk, caller)
-    call = rig.call(caller)  # swallowed; nothing is reset, and the machine is well
-    trunk.hear(SetUp, call)
-    again = server.accept()
-    assert caller.hear(Release, call).reason is Reason.CONGESTED  # in time, and not failed at its deadline
-    assert trunk.ends()
-    again.sock.close()
+def test_unresponsive_connection_is_replaced_before_its_calls_time_out(one: One) -> None:
+    rig, server, server_peer, caller = one
+    set_up_call(rig, server_peer, caller)
+    call = rig.call(caller)  # gets no answer; nothing is reset, and the machine is well
+    server_peer.hear(SetUp, call)
+    new_peer = server.accept()
+    # Refused in time, not failed at its deadline.
+    assert caller.hear(Release, call).reason is Reason.CONGESTED
+    assert server_peer.ends()
+    new_peer.sock.close()
 
 
-def test_a_lost_answer_is_asked_after_and_the_call_tried_again(one: One) -> None:
-    rig, _, trunk, caller = one
+def test_lost_answer_is_detected_by_a_probe_and_the_call_retried(one: One) -> None:
+    rig, _, server_peer, caller = one
     call = rig.call(caller)
-    trunk.hear(SetUp, call)
-    trunk.say(GroupState(trunk.hear(Test).call, LINES))  # it has had its turn: the answer is lost
-    assert trunk.hear(Release, call).reason is Reason.CLEARED
-    trunk.hear(SetUp, call)
-    trunk.say(Answer(call, b"accept"))
+    server_peer.hear(SetUp, call)
+    # A server processes messages in order: with the probe answered, the set-up's answer is lost.
+    server_peer.say(GroupState(server_peer.hear(Test).call, LINES))
+    assert server_peer.hear(Release, call).reason is Reason.CLEARED
+    server_peer.hear(SetUp, call)
+    server_peer.say(Answer(call, b"accept"))
     caller.hear(Answer, call)
 
 
-def test_a_connection_that_swallows_a_probe_is_doubted_at_once(one: One) -> None:
-    rig, server, trunk, caller = one
+def test_unanswered_probe_replaces_the_connection_at_once(one: One) -> None:
+    """A connection that delivers nothing loses the probe as well as the set-up."""
+    rig, server, server_peer, caller = one
     assert rig.switch is not None
-    rig.switch.shared.min_aim = 10**12  # not for the time that has passed
+    rig.switch.shared.min_aim = 10**12  # rules out a replacement because of the time that has passed
     call = rig.call(caller)
-    trunk.hear(SetUp, call)
-    trunk.hear(Test)
-    again = server.accept()
-    again.say(GroupState(again.hear(Test).call, LINES))
-    assert trunk.ends()
-    again.hear(SetUp, call)
-    again.say(Answer(call, b"accept"))
+    server_peer.hear(SetUp, call)
+    server_peer.hear(Test)
+    new_peer = server.accept()
+    new_peer.say(GroupState(new_peer.hear(Test).call, LINES))
+    assert server_peer.ends()
+    new_peer.hear(SetUp, call)
+    new_peer.say(Answer(call, b"accept"))
     caller.hear(Answer, call)
 
 
-def test_a_dumb_connection_is_no_fault_of_a_server_that_answers_on_another(one: One) -> None:
-    rig, server, trunk, caller = one
+def test_unresponsive_connection_does_not_mark_a_server_that_answers_on_another(one: One) -> None:
+    """Counted as a time-out, a fault of the connection alone would mark a server that is well."""
+    rig, server, server_peer, caller = one
     call = rig.call(caller)
-    trunk.hear(SetUp, call)
-    again = server.accept()
-    again.say(GroupState(again.hear(Test).call, LINES))  # sent later than the set-up, and answered
-    assert trunk.ends()
-    again.hear(SetUp, call)
+    server_peer.hear(SetUp, call)
+    new_peer = server.accept()
+    new_peer.say(GroupState(new_peer.hear(Test).call, LINES))  # sent later than the set-up, and answered
+    assert server_peer.ends()
+    new_peer.hear(SetUp, call)
     assert rig.switch is not None
-    known = rig.switch.route.controller.servers["s-1"]
-    assert (known.failures, known.mark_until) == (0, 0)
+    server_state = rig.switch.route.controller.servers["s-1"]
+    assert (server_state.failures, server_state.mark_until) == (0, 0)
     assert rig.switch.shared.servers["s-1"].redial_after == module.MIN_REDIAL_DELAY
-    again.say(Answer(call, b"accept"))
+    new_peer.say(Answer(call, b"accept"))
     caller.hear(Answer, call)
 
 
 def replace_connection(rig: Rig, server: Server) -> Peer:
-    """Have another connection to the server made beside the one there is, as where that one is doubted."""
+    """Open another connection to the server, as the softswitch does if the present one looks unresponsive."""
     assert rig.switch is not None
     shared, reader = rig.switch.shared, rig.switch.send.reader
     links.dial(server.dial, 500_000, shared.inbox, shared.servers["s-1"], reader)
     return server.accept()
 
 
-def told_the_end(trunk: Peer) -> None:
-    """Wait until the softswitch has ended its side, and leave that unread: the server has yet to notice."""
+def wait_for_shutdown(server_peer: Peer) -> None:
+    """Wait until the softswitch has shut down its side, without reading: the server has not noticed yet."""
     poll = select.poll()
-    poll.register(trunk.sock, select.POLLRDHUP)
+    poll.register(server_peer.sock, select.POLLRDHUP)
     assert poll.poll(TIMEOUT_S * 1000)
 
 
-@pytest.mark.parametrize("written", ["before", "before it notices"])
-def test_a_release_on_a_replaced_connection_reaches_its_caller(one: One, written: str) -> None:
-    rig, server, trunk, caller = one
-    call = set_up_call(rig, trunk, caller)
+@pytest.mark.parametrize("release_sent", ["before replacement", "after replacement"])
+def test_release_on_a_replaced_connection_is_relayed(one: One, release_sent: str) -> None:
+    """The server writes releases to the old connection until it notices that it has been shut down."""
+    rig, server, server_peer, caller = one
+    call = set_up_call(rig, server_peer, caller)
     assert rig.switch is not None
     link = rig.switch.shared.servers["s-1"].link
     assert link is not None
-    held, pump = threading.Event(), link.read_available
-    setattr(link, "read_available", lambda: held.wait(TIMEOUT_S) and pump())  # noqa: B010
-    if written == "before":  # and nobody has read it when the connection is replaced
-        trunk.say(Release(call, Reason.CLEARED))
-    again = replace_connection(rig, server)
-    told_the_end(trunk)
-    if written != "before":
-        trunk.say(Release(call, Reason.CLEARED))
-    held.set()
+    may_read, read_available = threading.Event(), link.read_available
+    setattr(link, "read_available", lambda: may_read.wait(TIMEOUT_S) and read_available())  # noqa: B010
+    if release_sent == "before replacement":  # and still unread then
+        server_peer.say(Release(call, Reason.CLEARED))
+    new_peer = replace_connection(rig, server)
+    wait_for_shutdown(server_peer)
+    if release_sent != "before replacement":
+        server_peer.say(Release(call, Reason.CLEARED))
+    may_read.set()
     assert caller.hear(Release, call).reason is Reason.CLEARED
-    set_up_call(rig, again, caller)
+    set_up_call(rig, new_peer, caller)
 
 
-def break_off_at_the_next_look(monkeypatch: pytest.MonkeyPatch) -> None:
-    def judge(send: Any, server: Any, link: Any, quiet: int) -> None:
+def break_off_at_next_check(monkeypatch: pytest.MonkeyPatch) -> None:
+    def break_off(send: Any, server: Any, link: Any, quiet_time: int) -> None:
         send.break_off(server, link, Outcome.RESET)
 
-    monkeypatch.setattr(module.SendStage, "check_replaced_link", judge)
+    monkeypatch.setattr(module.SendStage, "check_replaced_link", break_off)
 
 
-def test_a_release_on_a_connection_broken_off_reaches_its_caller(
-    one: One, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    rig, server, trunk, caller = one
-    call, late = set_up_call(rig, trunk, caller), rig.call(caller)
-    trunk.hear(SetUp, late)
-    break_off_at_the_next_look(monkeypatch)
-    again = replace_connection(rig, server)
-    told_the_end(trunk)
-    trunk.say(Release(call, Reason.CLEARED))  # it was slow and not dumb
+def test_release_on_a_broken_off_connection_is_relayed(one: One, monkeypatch: pytest.MonkeyPatch) -> None:
+    rig, server, server_peer, caller = one
+    call, late_call = set_up_call(rig, server_peer, caller), rig.call(caller)
+    server_peer.hear(SetUp, late_call)
+    break_off_at_next_check(monkeypatch)
+    new_peer = replace_connection(rig, server)
+    wait_for_shutdown(server_peer)
+    server_peer.say(Release(call, Reason.CLEARED))  # the server was slow, the connection not lost
     assert caller.hear(Release, call).reason is Reason.CLEARED
-    again.hear(SetUp, late)
-    again.say(Answer(late, b"accept"))
-    caller.hear(Answer, late)
+    new_peer.hear(SetUp, late_call)
+    new_peer.say(Answer(late_call, b"accept"))
+    caller.hear(Answer, late_call)
     assert rig.switch is not None
     assert rig.switch.shared.counters["links_dumb"] == 1
 
 
-def test_the_end_of_an_attempt_broken_off_is_not_taken_for_that_of_the_next(
+def test_late_release_of_a_broken_off_attempt_does_not_end_the_next_one(
     one: One, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    rig, server, trunk, caller = one
+    """Both attempts have the same call id; only the connection tells them apart."""
+    rig, server, server_peer, caller = one
     call = rig.call(caller)
-    trunk.hear(SetUp, call)
-    break_off_at_the_next_look(monkeypatch)
-    again = replace_connection(rig, server)
-    told_the_end(trunk)
-    again.hear(SetUp, call)
-    again.say(Answer(call, b"accept"))
+    server_peer.hear(SetUp, call)
+    break_off_at_next_check(monkeypatch)
+    new_peer = replace_connection(rig, server)
+    wait_for_shutdown(server_peer)
+    new_peer.hear(SetUp, call)
+    new_peer.say(Answer(call, b"accept"))
     caller.hear(Answer, call)
-    trunk.say(Release(call, Reason.FULL))
+    server_peer.say(Release(call, Reason.FULL))
     wait_for(lambda: rig.switch is not None and rig.switch.shared.counters["strays"] == 1)
-    again.say(Release(call, Reason.CLEARED))
+    new_peer.say(Release(call, Reason.CLEARED))
     assert caller.hear(Release, call).reason is Reason.CLEARED
 
 
-def test_what_another_server_says_of_a_call_that_stands_does_not_end_it(rig: Rig) -> None:
-    server, other = Server(), Server()
-    rig.open(list_line(server, "s-1"), list_line(other, "s-2", 1, health="Terminating"))
-    trunk, strange, caller = server.accept(), other.accept(), rig.caller()
-    call = set_up_call(rig, trunk, caller)
-    strange.say(Release(call, Reason.FULL))  # of an attempt there that was given up
+def test_release_from_another_server_does_not_end_an_answered_call(rig: Rig) -> None:
+    server, other_server = Server(), Server()
+    rig.open(list_line(server, "s-1"), list_line(other_server, "s-2", 1, health="Terminating"))
+    server_peer, other_peer, caller = server.accept(), other_server.accept(), rig.caller()
+    call = set_up_call(rig, server_peer, caller)
+    other_peer.say(Release(call, Reason.FULL))  # about an attempt there that was given up
     wait_for(lambda: rig.switch is not None and rig.switch.shared.counters["strays"] == 1)
-    trunk.say(Release(call, Reason.CLEARED))
+    server_peer.say(Release(call, Reason.CLEARED))
     assert caller.hear(Release, call).reason is Reason.CLEARED
 
 
-@pytest.mark.parametrize("bound", ["time", "count"])
-def test_a_replaced_connection_whose_server_never_ends_it_is_closed_nevertheless(
-    one: One, monkeypatch: pytest.MonkeyPatch, bound: str
+@pytest.mark.parametrize("limit", ["time", "count"])
+def test_replaced_connection_is_closed_though_its_server_never_ends_it(
+    one: One, monkeypatch: pytest.MonkeyPatch, limit: str
 ) -> None:
-    rig, server, trunk, caller = one
-    monkeypatch.setattr(module, "LINGER_TIME", 50_000 if bound == "time" else 10**9)
-    monkeypatch.setattr(module, "SILENCE_TIMEOUT", 10**9)  # no other replaces it meanwhile
-    set_up_call(rig, trunk, caller)
+    rig, server, server_peer, caller = one
+    monkeypatch.setattr(module, "LINGER_TIME", 50_000 if limit == "time" else 10**9)
+    monkeypatch.setattr(module, "SILENCE_TIMEOUT", 10**9)  # no other connection replaces it meanwhile
+    set_up_call(rig, server_peer, caller)
     assert rig.switch is not None
-    known = rig.switch.shared.servers["s-1"]
-    link = known.link
-    trunks = [trunk]
-    for _ in range(1 if bound == "time" else module.MAX_LINKS):
-        trunks.append(replace_connection(rig, server))
-        told_the_end(trunks[-2])
+    server_state = rig.switch.shared.servers["s-1"]
+    link = server_state.link
+    server_peers = [server_peer]
+    for _ in range(1 if limit == "time" else module.MAX_LINKS):
+        server_peers.append(replace_connection(rig, server))
+        wait_for_shutdown(server_peers[-2])
     wait_for(lambda: link is not None and link.closed)
-    assert 1 + len(known.replaced_links) + len(known.lingering_links) <= module.MAX_LINKS
+    assert 1 + len(server_state.replaced_links) + len(server_state.lingering_links) <= module.MAX_LINKS
 
 
-def test_a_server_that_takes_no_newcomers_is_not_dialled_at_every_look(
+def test_server_that_refuses_connections_is_not_dialled_at_every_check(
     one: One, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    rig, _, trunk, caller = one
+    rig, _, server_peer, caller = one
     dials: list[Any] = []
 
-    def dial(where: str, timeout: int, inbox: Any, owner: Any, *_: Any) -> None:
+    def dial(address: str, timeout: int, inbox: Any, owner: Any, *_: Any) -> None:
         dials.append(owner)
         inbox.put(links.DialFailed(owner, True))
 
     monkeypatch.setattr(links, "dial", dial)
-    at = time.monotonic()
+    started_at = time.monotonic()
     call = rig.call(caller, wait_ms=1500)
-    trunk.hear(SetUp, call)
+    server_peer.hear(SetUp, call)
     caller.hear(Release, call)
-    assert 1 <= len(dials) <= (time.monotonic() - at) / 0.25 + 1
+    assert 1 <= len(dials) <= (time.monotonic() - started_at) / 0.25 + 1
 
 
-def test_a_hang_up_of_a_former_life_reaches_the_servers_once(one: One) -> None:
-    rig, _, trunk, caller = one
-    set_up_call(rig, trunk, caller)
+def test_caller_release_of_a_call_from_before_a_restart_is_relayed_once(one: One) -> None:
+    rig, _, server_peer, caller = one
+    set_up_call(rig, server_peer, caller)
     caller.say(Release(0xBEEF, Reason.CLEARED), Release(0xBEEF, Reason.CLEARED))
-    trunk.hear(Release, 0xBEEF)
-    set_up_call(rig, trunk, caller)
-    assert not [message for message in trunk.read if message.call == 0xBEEF]
+    server_peer.hear(Release, 0xBEEF)
+    set_up_call(rig, server_peer, caller)
+    assert not [message for message in server_peer.read if message.call == 0xBEEF]
 
 
-def test_what_is_open_when_time_is_up_is_failed_and_not_lost(
+def test_calls_still_open_at_the_stop_time_limit_are_failed(
     one: One, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    rig, _, trunk, caller = one
+    rig, _, server_peer, caller = one
     monkeypatch.setattr(module, "MAX_STOP_TIME", 200_000)
     call = rig.call(caller, wait_ms=60_000)
-    trunk.hear(SetUp, call)
+    server_peer.hear(SetUp, call)
     assert rig.switch is not None
     rig.switch.stop_requested = True
     assert caller.hear(Release, call).reason is Reason.FAILED
 
 
-def test_an_answer_on_another_connection_than_its_set_ups_open_one_is_an_earlier_attempts(
+def test_answer_on_another_connection_than_its_set_up_is_ignored(
     one: One, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    rig, server, trunk, caller = one
+    """While the set-up's own connection is open, such an answer belongs to an earlier attempt."""
+    rig, server, server_peer, caller = one
     monkeypatch.setattr(module, "SILENCE_TIMEOUT", 200_000)
     call = rig.call(caller)
-    trunk.hear(SetUp, call)
-    again = server.accept()
+    server_peer.hear(SetUp, call)
+    new_peer = server.accept()
     monkeypatch.setattr(module, "SILENCE_TIMEOUT", 10**9)
-    again.say(Answer(call, b"stale"))
+    new_peer.say(Answer(call, b"stale"))
     wait_for(lambda: rig.switch is not None and rig.switch.shared.counters["strays"] == 1)
-    trunk.say(Answer(call, b"fresh"))
+    server_peer.say(Answer(call, b"fresh"))
     assert caller.hear(Answer, call).description == b"fresh"
 
 
-def test_what_was_refused_at_once_leaves_no_timer_and_no_call_behind(rig: Rig) -> None:
-    rig.open()  # no server yet: each is refused
+def test_calls_refused_at_once_leave_no_timers(rig: Rig) -> None:
+    rig.open()  # no server yet, so each call is refused
     caller = rig.caller()
     for _ in range(50):
         caller.hear(Release, rig.call(caller))
@@ -1023,18 +1057,19 @@
     assert len(rig.switch.shared.timers) < 10
 
 
-def test_the_timer_of_an_attempt_does_not_hold_its_call(one: One) -> None:
-    rig, _, trunk, caller = one
-    rig.serial = 0xB0000  # of no other story
-    call = set_up_call(rig, trunk, caller)
-    trunk.say(Release(call, Reason.CLEARED))
+def test_timer_of_an_attempt_does_not_keep_its_call_in_memory(one: One) -> None:
+    """A timer that held its call would keep the description, of up to 16 KiB, until the deadline."""
+    rig, _, server_peer, caller = one
+    rig.serial = 0xB0000  # call ids that no other test uses
+    call = set_up_call(rig, server_peer, caller)
+    server_peer.say(Release(call, Reason.CLEARED))
     caller.hear(Release, call)
-    set_up_call(rig, trunk, caller)  # the loop has done with the first
+    set_up_call(rig, server_peer, caller)  # by then the loop has processed the first call
     gc.collect()
-    assert call not in [it.call_id for it in gc.get_objects() if isinstance(it, module.Call)]
+    assert call not in [item.call_id for item in gc.get_objects() if isinstance(item, module.Call)]
 
 
-def test_a_softswitch_that_is_full_says_when_to_come_back(rig: Rig) -> None:
+def test_refusal_by_a_full_softswitch_carries_a_retry_delay(rig: Rig) -> None:
     server = Server()
     rig.open(list_line(server, "s-1"), max_open=1)
     server.accept()
@@ -1043,76 +1078,77 @@
     assert caller.hear(Release, rig.call(caller)).stay_away_ms == 1000
 
 
-def test_long_descriptions_fill_a_part_of_the_memory_and_no_more(one: One) -> None:
-    rig, _, trunk, caller = one
+def test_memory_held_by_descriptions_is_bounded(one: One) -> None:
+    rig, _, server_peer, caller = one
     assert rig.switch is not None
     shared = rig.switch.shared
-    shared.config.max_held_bytes = 8  # 'offer' is of five bytes
+    shared.config.max_held_bytes = 8  # one 'offer' takes 5 bytes, two do not fit
     call = rig.call(caller)
-    trunk.hear(SetUp, call)
+    server_peer.hear(SetUp, call)
     assert caller.hear(Release, rig.call(caller)).stay_away_ms > 0
-    trunk.say(Answer(call, b"accept"))
+    server_peer.say(Answer(call, b"accept"))
     caller.hear(Answer, call)
     assert shared.held_bytes == 0
     wait_for(lambda: call in shared.standing)
     assert shared.standing[call].call.set_up.description == b""
-    set_up_call(rig, trunk, caller)
+    set_up_call(rig, server_peer, caller)
 
 
 @pytest.mark.parametrize(
-    ("memory_mb", "sockets", "callers", "ended"),
+    ("memory_mb", "sockets", "max_callers", "max_ended"),
     [(192, 1024, 460, 28800), (32, 256, 115, 4800), (32, 1024, 160, 4800)],
 )
-def test_what_callers_may_hold_fits_the_memory_as_well_as_the_descriptors(
-    rig: Rig, memory_mb: int, sockets: int, callers: int, ended: int
+def test_caller_limits_follow_memory_and_descriptors(
+    rig: Rig, memory_mb: int, sockets: int, max_callers: int, max_ended: int
 ) -> None:
     rig.open()
     raw = {**json.loads(rig.text), "limits": {"memory_mb": memory_mb, "sockets": sockets}}
     config = Config.read(json.dumps(raw))
-    assert (config.max_callers, config.max_ended) == (callers, ended)
+    assert (config.max_callers, config.max_ended) == (max_callers, max_ended)
     assert config.max_held_bytes == memory_mb * 2**20 // 16
 
 
-@pytest.mark.parametrize(("size", "ahead"), [(1, links.MAX_SHARES_AHEAD), (16000, 1)])
-def test_a_caller_that_pushes_has_a_bounded_part_waiting_for_the_loop(size: int, ahead: int) -> None:
+@pytest.mark.parametrize(("size", "max_waiting"), [(1, links.MAX_SHARES_AHEAD), (16000, 1)])
+def test_messages_of_one_connection_that_wait_for_the_loop_are_bounded(size: int, max_waiting: int) -> None:
     inbox: links.Inbox = SimpleQueue()
     server = Server()
     link = links.Link(socket.create_connection(server.sock.getsockname()), inbox, None)
     peer = server.accept()
     link.start()
-    link.mark_processed(inbox.get().shares)  # the state it greets with
+    link.mark_processed(inbox.get().shares)  # the GroupState that `accept` sends
     threading.Thread(target=peer.say, args=[Answer(1, b"x" * size)] * 30, daemon=True).start()
-    for _ in range(30 - ahead):
-        wait_for(lambda: inbox.qsize() >= ahead)
-        assert inbox.qsize() == ahead
+    for _ in range(30 - max_waiting):
+        wait_for(lambda: inbox.qsize() >= max_waiting)
+        assert inbox.qsize() == max_waiting
         link.mark_processed(inbox.get().shares)
     peer.sock.close()
     link.close()
 
 
-def test_a_caller_that_was_told_to_go_and_reads_nothing_loses_its_place(one: One) -> None:
+def test_closing_caller_connection_that_is_not_read_is_dropped(one: One) -> None:
+    """Told to close, a connection whose peer never reads the last answer would keep its place for ever."""
     rig = one[0]
-    deaf = rig.caller()
+    stalled_caller = rig.caller()
     assert rig.switch is not None
-    callers = rig.switch.shared.caller_links
-    wait_for(lambda: len(callers) == 2)
-    link = list(callers)[-1]
+    caller_links = rig.switch.shared.caller_links
+    wait_for(lambda: len(caller_links) == 2)
+    link = list(caller_links)[-1]
     link.outbox_most = 10**9
     for _ in range(1000):
         link.send(Answer(1, b"x" * 16000))
     link.is_closing = True
     link.finish()
-    wait_for(lambda: len(callers) == 1)
-    deaf.sock.close()
+    wait_for(lambda: len(caller_links) == 1)
+    stalled_caller.sock.close()
 
 
-def test_what_the_bulletin_spoils_hides_nothing_else(one: One) -> None:
+def test_unreadable_list_lines_do_not_hide_the_others(one: One) -> None:
     rig, server, _, _ = one
-    newcomer = Server()
+    new_server = Server()
     rig.bulletin.tell(
-        {"host": "s-7"}, list_line(server, "s-8", health="Unwell"), list_line(newcomer, "s-2", 1)
+        {"host": "s-7"}, list_line(server, "s-8", health="Unwell"), list_line(new_server, "s-2", 1)
     )
-    newcomer.accept()
+    new_server.accept()
     assert rig.switch is not None
     assert set(rig.switch.shared.servers) == {"s-1", "s-2"}
 
@@ -1122,10 +1158,11 @@
     [None, {"no": 4, "roster": {}}, *({"no": no, "roster": {"hosts": []}} for no in ("x", math.inf))],
     ids=str,
 )
-def test_an_event_that_cannot_be_read_is_passed_over(item: Any) -> None:
-    good = {"no": 5, "roster": {"whole": True, "hosts": [line_of("s-1"), {"host": "s-2"}]}}
-    last, (event,) = bulletin.read_events({"no": 5, "items": [item, good]})
-    # whole but for one: the other is not gone
+def test_unreadable_list_event_is_skipped(item: Any) -> None:
+    """Requested again it would come again, and all events after it would be lost."""
+    readable = {"no": 5, "roster": {"whole": True, "hosts": [make_list_line("s-1"), {"host": "s-2"}]}}
+    last, (event,) = bulletin.read_events({"no": 5, "items": [item, readable]})
+    # The list is not complete, as one line is unreadable: the server on it must not count as gone.
     assert (last, event.number, event.is_complete) == (
         5,
         5,
@@ -1134,39 +1171,42 @@
     assert [listed.host for listed in event.listed_servers] == ["s-1"]
 
 
-def line_of(host: str) -> dict[str, Any]:
+def make_list_line(host: str) -> dict[str, Any]:
     return {"host": host, "dial": "127.0.0.1:9", "block": 0, "health": "Ready"}
 
 
-def test_the_bulletins_thread_outlives_whatever_comes() -> None:
-    called: Queue[int] = Queue()
+def test_bulletin_thread_survives_any_exception() -> None:
+    """Without this thread no drain would be noticed any more."""
+    polls: Queue[int] = Queue()
 
-    class Odd(bulletin.Client):
+    class FailingClient(bulletin.Client):
         def poll_once(self) -> None:
-            called.put(1)
-            if called.qsize() == 3:
-                threading.Event().wait()  # enough
+            polls.put(1)
+            if polls.qsize() == 3:
+                threading.Event().wait()  # blocks from here on
             raise OverflowError
 
-    Odd("127.0.0.1:9", 0, print).start()
-    wait_for(lambda: called.qsize() == 3)
+    FailingClient("127.0.0.1:9", 0, print).start()
+    wait_for(lambda: polls.qsize() == 3)
 
 
-def test_what_the_old_bulletin_says_after_a_move_changes_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    heard: list[bulletin.ListUpdate] = []
-    old = socket.create_server(("127.0.0.1", 0))
-    client = bulletin.Client(f"127.0.0.1:{old.getsockname()[1]}", 3, heard.append)
-    real = client._get  # of this client alone: those of other stories may be at work still
+def test_response_of_the_old_bulletin_after_a_change_of_address_is_discarded(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    updates: list[bulletin.ListUpdate] = []
+    old_bulletin = socket.create_server(("127.0.0.1", 0))
+    client = bulletin.Client(f"127.0.0.1:{old_bulletin.getsockname()[1]}", 3, updates.append)
+    real_get = client._get  # of this client alone: those of other tests may still run
 
     def get(path: str) -> Any:
-        whole = real(path)
-        client.change_address("127.0.0.1:9")  # and now SIGHUP comes
-        return whole
+        response = real_get(path)
+        client.change_address("127.0.0.1:9")  # as a reload does during the request
+        return response
 
     monkeypatch.setattr(client, "_get", get)
 
     def answer() -> None:
-        sock = old.accept()[0]
+        sock = old_bulletin.accept()[0]
         sock.recv(4096)
         body = json.dumps({"no": 4, "items": [{"no": 4, "roster": {"whole": False, "hosts": []}}]})
         sock.sendall(f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
@@ -1174,97 +1214,101 @@
     threading.Thread(target=answer, daemon=True).start()
     with pytest.raises(bulletin.BadResponse):
         client.poll_once()
-    assert heard == []
-    assert client._after == 3  # asked for again where it is now
+    assert updates == []
+    assert client._after == 3  # the event is requested again at the new address
 
 
-def event_of(number: int, host: str) -> dict[str, Any]:
-    return {"no": number, "roster": {"whole": False, "hosts": [line_of(host)]}}
+def make_list_event(number: int, host: str) -> dict[str, Any]:
+    return {"no": number, "roster": {"whole": False, "hosts": [make_list_line(host)]}}
 
 
 @pytest.mark.parametrize(
-    ("answers", "heard", "after"),
+    ("responses", "applied", "after"),
     [
         ([(5, [4, 5])], [4, 5], 5),
-        ([(5, [5, 4])], [4, 5], 5),  # in their order, whatever theirs was
-        ([(3, [2, 3]), (4, [3, 4])], [4], 4),  # old ones, and one that comes again
-        ([(2, [])], [], 3),  # an old number
-        ([(6, [6]), (6, [4, 5, 6])], [4, 5, 6], 6),  # a jump: asked for again, and all of it is heard
-        ([(9, []), (4, [4])], [4], 4),  # a number alone
-        ([(6, [6]), (6, [6])], [6], 6),  # missing twice: not there to be had
+        ([(5, [5, 4])], [4, 5], 5),  # sorted by number
+        ([(3, [2, 3]), (4, [3, 4])], [4], 4),  # events already applied are skipped
+        ([(2, [])], [], 3),  # a last number below the one applied
+        ([(6, [6]), (6, [4, 5, 6])], [4, 5, 6], 6),  # a gap: requested again, then all applied
+        ([(9, []), (4, [4])], [4], 4),  # a last number without events
+        ([(6, [6]), (6, [6])], [6], 6),  # missing twice: the events no longer exist
     ],
 )
-def test_a_list_that_repeats_itself_or_jumps_is_followed_in_order(
-    monkeypatch: pytest.MonkeyPatch, answers: list[tuple[int, list[int]]], heard: list[int], after: int
+def test_repeated_or_missing_list_events_are_applied_once_and_in_order(
+    monkeypatch: pytest.MonkeyPatch, responses: list[tuple[int, list[int]]], applied: list[int], after: int
 ) -> None:
-    found: list[bulletin.ListUpdate] = []
-    client = bulletin.Client("", 3, found.append)
-    for no, items in answers:
-        answer = {"no": no, "items": [event_of(number, "s-1") for number in items]}
-        monkeypatch.setattr(client, "_get", lambda path, answer=answer: answer)
+    updates: list[bulletin.ListUpdate] = []
+    client = bulletin.Client("", 3, updates.append)
+    for last_number, event_numbers in responses:
+        response = {"no": last_number, "items": [make_list_event(number, "s-1") for number in event_numbers]}
+        monkeypatch.setattr(client, "_get", lambda path, response=response: response)
         with contextlib.suppress(bulletin.BadResponse):
             client.poll_once()
-    assert ([event.number for event in found], client._after) == (heard, after)
+    assert ([event.number for event in updates], client._after) == (applied, after)
 
 
-def test_an_address_that_is_none_fails_like_any_other() -> None:
+def test_dialling_an_invalid_address_reports_a_failed_dial() -> None:
     inbox: links.Inbox = SimpleQueue()
     links.dial("127.0.0.1:99999", 500_000, inbox, None, links.Reader())
     assert inbox.get(timeout=TIMEOUT_S) == links.DialFailed(None, False)
 
 
 @pytest.mark.parametrize("passed", [True, False])
-def test_a_probe_turned_away_shows_nothing_of_what_waits(one: One, passed: bool) -> None:
-    rig, _, trunk, caller = one
+def test_refused_probe_does_not_cancel_the_waiting_attempt(one: One, passed: bool) -> None:
+    """Only a probe that passed shows that the set-up before it was processed."""
+    rig, _, server_peer, caller = one
     call = rig.call(caller)
-    trunk.hear(SetUp, call)
-    probe = trunk.hear(Test)  # after 1.5 times the usual
-    trunk.say(TestResult(probe.call, passed, LINES if passed else {}))
+    server_peer.hear(SetUp, call)
+    probe = server_peer.hear(Test)  # after 1.5 times the usual set-up time
+    server_peer.say(TestResult(probe.call, passed, LINES if passed else {}))
     if passed:
-        assert trunk.hear(Release, call).reason is Reason.CLEARED  # overtaken, so lost
+        # The probe was sent later and answered first, so the set-up's answer is lost.
+        assert server_peer.hear(Release, call).reason is Reason.CLEARED
         return
-    trunk.say(Answer(call, b"accept"))
+    server_peer.say(Answer(call, b"accept"))
     caller.hear(Answer, call)
     assert rig.switch is not None
     assert rig.switch.shared.counters["attempts_cancelled"] == 0
 
 
-def test_probes_are_few_however_long_a_set_up_is_out(one: One) -> None:
-    rig, _, trunk, caller = one
+def test_probes_for_one_unanswered_set_up_are_limited(one: One) -> None:
+    """Probes of hundreds of softswitches would load a late server more than its calls do."""
+    rig, _, server_peer, caller = one
     call = rig.call(caller, wait_ms=4000)
-    trunk.hear(SetUp, call)
+    server_peer.hear(SetUp, call)
     caller.hear(Release, call)
     assert rig.switch is not None
     proxies = rig.switch.shared.config.settings.proxies
-    most = module.MAX_SAVED_PROBES + module.PROBES_PER_SERVER / proxies * 5
-    assert 1 <= rig.switch.shared.counters["probes_sent"] <= most
+    max_probes = module.MAX_SAVED_PROBES + module.PROBES_PER_SERVER / proxies * 5
+    assert 1 <= rig.switch.shared.counters["probes_sent"] <= max_probes
 
 
-def test_a_start_waits_for_a_thread_where_the_machine_has_none(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_thread_start_is_retried_while_no_thread_is_available(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Many softswitches may share a machine and its limit on threads, and start together."""
     start = threading.Thread.start
-    left = [3]
+    failures_left = [3]
 
-    def scarce(thread: threading.Thread) -> None:
-        if left[0]:
-            left[0] -= 1
+    def start_or_fail(thread: threading.Thread) -> None:
+        if failures_left[0]:
+            failures_left[0] -= 1
             raise RuntimeError("can't start new thread")
         start(thread)
 
-    monkeypatch.setattr(threading.Thread, "start", scarce)
+    monkeypatch.setattr(threading.Thread, "start", start_or_fail)
     ran = threading.Event()
     links.start_thread(ran.set)
     assert ran.wait(TIMEOUT_S)
-    left[0] = 10**6
+    failures_left[0] = 10**6
     with pytest.raises(RuntimeError):
         links.start_thread(ran.set, timeout_s=0.0)
 
 
-def test_connections_to_servers_cost_one_thread_in_all(rig: Rig) -> None:
+def test_server_connections_share_one_reader_thread(rig: Rig) -> None:
     servers = [Server() for _ in range(8)]
-    before = threading.active_count()
+    threads_before = threading.active_count()
     rig.open(*(list_line(server, f"s-{n}", n) for n, server in enumerate(servers)))
-    trunks = [server.accept() for server in servers]
+    server_peers = [server.accept() for server in servers]
     caller = rig.caller()
-    set_up_call(rig, trunks[0], caller)
-    # The loop, the listener, the bulletin's client, a reader for all servers and one for the caller.
-    wait_for(lambda: threading.active_count() - before <= 5)
+    set_up_call(rig, server_peers[0], caller)
+    # The loop, the listener, the bulletin client, one reader for all servers and one for the caller.
+    wait_for(lambda: threading.active_count() - threads_before <= 5)
