--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""README's example runs as printed."""
+"""The Python example in README.md runs as printed."""
 
 import contextlib
 import io
@@ -6,11 +6,11 @@
 from pathlib import Path
 
 
-def test_readme_example_runs_and_prints_what_it_says() -> None:
+def test_readme_example_prints_the_documented_output() -> None:
     text = (Path(__file__).parent.parent / "README.md").read_text(encoding="utf-8")
     code = re.search(r"```python\n(.*?)```", text, re.S)
     assert code is not None
-    said = io.StringIO()
-    with contextlib.redirect_stdout(said):
+    output = io.StringIO()
+    with contextlib.redirect_stdout(output):
         exec(code.group(1), {})
-    assert said.getvalue().strip() == "['Wake', 'Wake', 'Send']"
+    assert output.getvalue().strip() == "['Wake', 'Wake', 'Send']"
