--- a/wickstep/spread/__init__.py
+++ b/wickstep/spread/__init__.py
@@ -1,5 +1,5 @@
-"""How evenly a fleet of softswitches loads its setup servers: the record, the measures, the report.
+"""Measures how evenly a fleet of softswitches loads its setup servers: record, measures, report.
 
-No module here is loaded by `serve`, but for the words of `reasons`. None does I/O except `logs`, which reads
-what softswitches have logged.
+`serve` loads no module of this package except `reasons`. Only `logs` handles outside input, the log lines of
+softswitches; no other module does I/O.
 """
--- a/wickstep/spread/logs.py
+++ b/wickstep/spread/logs.py
@@ -1,10 +1,11 @@
 """Reads the verbose logs of many softswitches into one record of what they sent where and why.
 
-This file owns the form of those lines, as far as it is read back. It must never fail on a line that it does
-not know: logs hold other lines, a platform may write something before each, and a last one may be cut.
+This file owns the format of those lines, as far as they are read back. It must never fail on an unknown line:
+logs hold other lines too, a platform may prefix each line, and the last line may be truncated.
 
-What a server could do stands in no log. Its capacity is taken to be the most calls that stood there in one
-second: right where it was ever busy, too small where it never was. When it was idle is not known.
+Logs do not state the capacity of a server. It is estimated as the largest number of calls that were set up
+there in one second: correct for a server that was ever saturated, too low for one that never was. Idle time
+is unknown.
 """
 
 from __future__ import annotations
@@ -17,29 +18,29 @@
 from wickstep.spread.reasons import SendReason
 from wickstep.spread.record import BIN_S, Record, SentSetUp, ServerTimeline
 
-LINE = re.compile(r"\d{4}-\d\d-\d\d (\d\d):(\d\d):(\d\d),(\d{3}) wickstep\.net\.softswitch (.*)")
-SENT = re.compile(r"([0-9a-f]{16}) #(\d+) sent to (\S+) \((\w+)\)")
-STANDS = re.compile(r"([0-9a-f]{16}) #\d+ stands at (\S+) after (\d+) us")
-FULL = re.compile(r"([0-9a-f]{16}) #\d+ full at (\S+) after")
-ANSWERED = re.compile(r"([0-9a-f]{16}) answered: (\w+)")
+LINE_PATTERN = re.compile(r"\d{4}-\d\d-\d\d (\d\d):(\d\d):(\d\d),(\d{3}) wickstep\.net\.softswitch (.*)")
+SENT_PATTERN = re.compile(r"([0-9a-f]{16}) #(\d+) sent to (\S+) \((\w+)\)")
+STANDS_PATTERN = re.compile(r"([0-9a-f]{16}) #\d+ stands at (\S+) after (\d+) us")
+FULL_PATTERN = re.compile(r"([0-9a-f]{16}) #\d+ full at (\S+) after")
+ANSWERED_PATTERN = re.compile(r"([0-9a-f]{16}) answered: (\w+)")
 DAY_S = 86400.0
 
 
 @dataclass(slots=True)
 class LogReader:
-    """All logs of one fleet, one after the other."""
+    """Collects the events of a fleet from its logs, which are added one after the other."""
 
     sent: list[SentSetUp] = field(default_factory=list)
-    stood: list[tuple[float, str, float]] = field(default_factory=list)  # when, where, after how many seconds
+    set_up: list[tuple[float, str, float]] = field(default_factory=list)  # time, server, delay in seconds
     full: list[tuple[float, str]] = field(default_factory=list)
     refused: list[float] = field(default_factory=list)
-    unknown_lines: int = 0  # lines of the softswitch that are of no kind known here
+    unknown_lines: int = 0  # lines of the softswitch's logger that match no pattern here
 
     def add_log(self, softswitch: int, lines: Iterable[str]) -> None:
-        """One softswitch's log; times of day, of one day or from before to after midnight."""
+        """Adds one softswitch's log; its times of day belong to one day, or run over one midnight."""
         last = 0.0
         for text in lines:
-            found = LINE.search(text)
+            found = LINE_PATTERN.search(text)
             if found is None:
                 continue
             hours, minutes, seconds, millis = (int(part) for part in found.groups()[:4])
@@ -47,38 +48,40 @@
             if at < last - DAY_S / 2:
                 at += DAY_S
             last = at
-            self._event(softswitch, at, found[5])
+            self._read_event(softswitch, at, found[5])
 
-    def _event(self, softswitch: int, at: float, text: str) -> None:
-        if (found := SENT.match(text)) and found[4] in {why.value for why in SendReason}:
+    def _read_event(self, softswitch: int, at: float, text: str) -> None:
+        if (found := SENT_PATTERN.match(text)) and found[4] in {reason.value for reason in SendReason}:
             self.sent.append(SentSetUp(at, softswitch, found[3], SendReason(found[4])))
-        elif found := STANDS.match(text):
-            self.stood.append((at, found[2], int(found[3]) / 1e6))
-        elif found := FULL.match(text):
+        elif found := STANDS_PATTERN.match(text):
+            self.set_up.append((at, found[2], int(found[3]) / 1e6))
+        elif found := FULL_PATTERN.match(text):
             self.full.append((at, found[2]))
-        elif found := ANSWERED.match(text):
+        elif found := ANSWERED_PATTERN.match(text):
             if found[2] in ("refused", "turned_away"):
                 self.refused.append(at)
         else:
             self.unknown_lines += 1
 
     def build_record(self, aim_s: float) -> Record:
-        """What was read, with times from the first set-up; calls that stood after `aim_s` count as late."""
+        """The record of all logs, its times from the first set-up; a delay over `aim_s` counts as late."""
         if not self.sent:
             return Record(0.0)
-        began = min(item.at for item in self.sent)
-        lasts = max(item.at for item in self.sent) - began + BIN_S
+        start = min(item.at for item in self.sent)
+        duration = max(item.at for item in self.sent) - start + BIN_S
         record = Record(
-            lasts,
-            [SentSetUp(item.at - began, item.softswitch, item.server, item.reason) for item in self.sent],
-            full=[(at - began, server) for at, server in self.full],
-            refused=[at - began for at in self.refused],
-            overdue=[(at - began - took + aim_s, at - began) for at, _, took in self.stood if took > aim_s],
+            duration,
+            [SentSetUp(item.at - start, item.softswitch, item.server, item.reason) for item in self.sent],
+            full=[(at - start, server) for at, server in self.full],
+            refused=[at - start for at in self.refused],
+            overdue=[
+                (at - start - delay + aim_s, at - start) for at, _, delay in self.set_up if delay > aim_s
+            ],
         )
-        done = Counter((server, int(at - began)) for at, server, _ in self.stood)
+        completed = Counter((server, int(at - start)) for at, server, _ in self.set_up)
         for server in {item.server for item in self.sent}:
-            most = max((count for (name, _), count in done.items() if name == server), default=0)
+            largest = max((count for (name, _), count in completed.items() if name == server), default=0)
             record.servers[server] = ServerTimeline(
-                [float(most)] * record.bin_count(), [-1.0] * record.bin_count()
+                [float(largest)] * record.bin_count(), [-1.0] * record.bin_count()
             )
         return record
--- a/wickstep/spread/report.py
+++ b/wickstep/spread/report.py
@@ -1,7 +1,7 @@
-"""The spread report: measures by phase, set-ups against capacity by server and second, as text and a page.
+"""The spread report: measures by phase, set-ups over capacity by server and second, as text and as HTML.
 
-This file owns that form. Its page is made by a template and a plotting library, which are loaded only for it;
-it must never measure.
+This file owns the layout. The template and plotting libraries are loaded only when a page is rendered. It
+must never compute a measure.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 from wickstep.spread.reasons import SendReason
 from wickstep.spread.record import BIN_S, Record
 
-ROWS_MOST = 24  # servers in a table, those with most set-ups over capacity first
+MAX_ROWS = 24  # servers in a table; those with the most set-ups over capacity come first
 
-PAGE = """<!doctype html>
+PAGE_TEMPLATE = """<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{{ title }}</title>
 <style>body{font-family:sans-serif;margin:2em}td,th{padding:.2em .6em;text-align:right}
 th:first-child,td:first-child{text-align:left}table{border-collapse:collapse}tr:nth-child(even){background:#eee}</style></head><body>
@@ -33,32 +33,32 @@
 {% for row in servers[1:] %}<tr>{% for cell in row %}<td>{{ cell }}</td>{% endfor %}</tr>{% endfor %}</table>
 </body></html>
 """
-NAMES = (
+MEASURE_TITLES = (
     "peak/mean", "by chance", "dispersion", "idle in trouble%", "trouble%", "attempts", "full", "refused",
-    *(why.value for why in SendReason),
+    *(reason.value for reason in SendReason),
 )  # fmt: skip
 
 
 @dataclass(slots=True, frozen=True)
 class Phase:
-    """A span of a record, in seconds, that is looked at by itself."""
+    """A named span of a record, in seconds, that is measured separately."""
 
     name: str
     begin: float
     end: float
 
 
-def cells(found: Spread) -> list[str]:
+def format_cells(found: Spread) -> list[str]:
     idle = f"{100 * found.idle_in_trouble:.1f}" if found.idle_in_trouble >= 0 else "-"
     return [
         f"{found.peak_over_mean:.2f}", f"{found.peak_by_chance:.2f}", f"{found.dispersion:.2f}", idle,
         f"{100 * found.trouble:.1f}", str(found.attempts), str(found.full), str(found.refused),
-        *(str(found.by_reason[why.value]) for why in SendReason),
+        *(str(found.by_reason[reason.value]) for reason in SendReason),
     ]  # fmt: skip
 
 
-def by_server(record: Record, phase: Phase) -> list[list[str]]:
-    """For each server: set-ups over capacity, its largest second, idle time, and set-ups by reason."""
+def server_rows(record: Record, phase: Phase) -> list[list[str]]:
+    """A heading, then by server: set-ups over capacity, its busiest second, idle time, set-ups by reason."""
     sent: dict[str, Counter[SendReason]] = defaultdict(Counter)
     seconds: Counter[tuple[str, int]] = Counter()
     for item in record.sent:
@@ -67,28 +67,30 @@
             seconds[(item.server, int(item.at))] += 1
     first, last = round(phase.begin / BIN_S), round(phase.end / BIN_S)
     rows = []
-    for name, life in record.servers.items():
-        could = sum(life.capacity[first:last]) * BIN_S
-        came = sum(sent[name].values())
-        usual = could / max(phase.end - phase.begin, 1e-9)
-        load = came / could if could else 0.0
+    for name, timeline in record.servers.items():
+        possible = sum(timeline.capacity[first:last]) * BIN_S
+        arrived = sum(sent[name].values())
+        per_second = possible / max(phase.end - phase.begin, 1e-9)
+        load = arrived / possible if possible else 0.0
         largest = max((count for (server, _), count in seconds.items() if server == name), default=0)
-        idle = measures.mean(life.idle[first:last])
+        idle = measures.mean(timeline.idle[first:last])
         rows.append((load, [
-            name, f"{usual:.1f}", f"{load:.2f}", f"{largest / usual if usual else 0:.2f}",
-            f"{100 * idle:.0f}" if idle >= 0 else "-", *(str(sent[name][why]) for why in SendReason),
+            name, f"{per_second:.1f}", f"{load:.2f}", f"{largest / per_second if per_second else 0:.2f}",
+            f"{100 * idle:.0f}" if idle >= 0 else "-", *(str(sent[name][reason]) for reason in SendReason),
         ]))  # fmt: skip
     rows.sort(key=lambda row: -row[0])
-    heading = ["server", "able/s", "load", "largest second", "idle%", *(why.value for why in SendReason)]
-    return [heading, *(row for _, row in rows[:ROWS_MOST])]
+    heading = [
+        "server", "able/s", "load", "largest second", "idle%", *(reason.value for reason in SendReason),
+    ]  # fmt: skip
+    return [heading, *(row for _, row in rows[:MAX_ROWS])]
 
 
 def format_lines(record: Record, phases: Sequence[Phase]) -> list[str]:
-    """For a person at a terminal."""
-    table = [["phase", *NAMES]]
+    """The report as lines of text for a terminal."""
+    table = [["phase", *MEASURE_TITLES]]
     for phase in phases:
-        table.append([phase.name, *cells(measures.measure(record, phase.begin, phase.end))])
-    return [*align_columns(table), "", *align_columns(by_server(record, phases[-1]))]
+        table.append([phase.name, *format_cells(measures.measure(record, phase.begin, phase.end))])
+    return [*align_columns(table), "", *align_columns(server_rows(record, phases[-1]))]
 
 
 def align_columns(table: Sequence[Sequence[str]]) -> list[str]:
@@ -103,35 +105,36 @@
 
 
 def render_page(title: str, record: Record, phases: Sequence[Phase]) -> str:
-    """The same as one page of HTML with a plot; needs the development requirements."""
+    """The report as one HTML page with a plot; needs the development requirements."""
     import jinja2
 
     rows = [
-        {"name": phase.name, "cells": cells(measures.measure(record, phase.begin, phase.end))}
+        {"name": phase.name, "cells": format_cells(measures.measure(record, phase.begin, phase.end))}
         for phase in phases
     ]
-    template = jinja2.Environment(autoescape=True).from_string(PAGE)
+    template = jinja2.Environment(autoescape=True).from_string(PAGE_TEMPLATE)
     return str(template.render(
-        title=title, names=NAMES, phases=rows, plot=plot(record), servers=by_server(record, phases[-1])
+        title=title, names=MEASURE_TITLES, phases=rows, plot=render_plot(record),
+        servers=server_rows(record, phases[-1]),
     ))
 
 
-def plot(record: Record) -> str:
-    """Set-ups over capacity by second, as SVG: of all servers, of the most and of the least loaded."""
+def render_plot(record: Record) -> str:
+    """Set-ups over capacity by second, as SVG: all servers together, the most and the least loaded one."""
     import pygal
 
     counts = measures.count_arrivals(record, 0, record.bin_count())
-    everyone, most, least = [], [], []
-    able = {name: life.capacity for name, life in record.servers.items()}
-    for came, could in measures.by_second(counts, able):
-        loads = [came[name] / could[name] for name in counts if could[name]]
-        total = sum(could.values())
-        everyone.append(sum(came.values()) / total if total else None)
+    overall, most, least = [], [], []
+    capacities = {name: timeline.capacity for name, timeline in record.servers.items()}
+    for arrived, possible in measures.totals_by_second(counts, capacities):
+        loads = [arrived[name] / possible[name] for name in counts if possible[name]]
+        total = sum(possible.values())
+        overall.append(sum(arrived.values()) / total if total else None)
         most.append(max(loads, default=None))
         least.append(min(loads, default=None))
     chart = pygal.Line(x_title="second", show_dots=False, js=(), height=300, width=900)
     chart.add("most loaded", most)
-    chart.add("all together", everyone)
+    chart.add("all together", overall)
     chart.add("least loaded", least)
-    chart.x_labels = [str(n) if n % 5 == 0 else "" for n in range(len(everyone))]
+    chart.x_labels = [str(n) if n % 5 == 0 else "" for n in range(len(overall))]
     return str(chart.render(is_unicode=True))
