--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""The model of a fleet: its script, its course, and what the decisions make of thin streams there."""
+"""The model of a fleet: plan, clock, servers, and service where each softswitch has little traffic."""
 
 from __future__ import annotations
 
@@ -9,35 +9,38 @@
 
 from wickstep.fleet import plan, report
 from wickstep.fleet.clock import SECOND, Clock
-from wickstep.fleet.edge import Edge
-from wickstep.fleet.model import Model, Outcome
-from wickstep.fleet.plan import Crowd, Happening, Kind, Plan, Tariff
-from wickstep.fleet.processor import Processor
+from wickstep.fleet.model import Model, RunResult
+from wickstep.fleet.plan import CallerTraffic, FleetEvent, FleetPlan, ServerBehaviour, ServerKind
+from wickstep.fleet.processor import SimulatedServer
+from wickstep.fleet.softswitch import SimulatedSoftswitch
 from wickstep.forms import KdlError
 from wickstep.interface import ServerState
 from wickstep.spread.reasons import SendReason
 
-# Thirty softswitches with two or three calls a second each; two servers with few lines, a slow one with many.
 EXAMPLES = Path(__file__).parent.parent / "examples" / "fleets"
-SMALL = Plan(
+# Thirty softswitches with two or three calls per second each on average; two servers have few lines, one is
+# slow and has many.
+SMALL_FLEET = FleetPlan(
     "small", 1, 30, 14.0,
     (
-        Kind(1, rate=40, lines=600, wish=0.6), Kind(1, rate=40, lines=120, standing=0.95, wish=0.6),
-        Kind(1, rate=40, lines=100, standing=0.95, wish=0.6),
-        Kind(1, rate=6, lines=150, standing=0.4, wish=0.6),
+        ServerKind(1, rate=40, lines=600, choice_weight=0.6),
+        ServerKind(1, rate=40, lines=120, initial_occupancy=0.95, choice_weight=0.6),
+        ServerKind(1, rate=40, lines=100, initial_occupancy=0.95, choice_weight=0.6),
+        ServerKind(1, rate=6, lines=150, initial_occupancy=0.4, choice_weight=0.6),
     ),
-    Tariff(), Crowd(rate=60, aim_s=2, wait_s=8, hold_s=8, spread=5), (Happening("burst", 6, 4, 1.6),),
+    ServerBehaviour(), CallerTraffic(rate=60, aim_s=2, wait_s=8, hold_s=8, busiest_ratio=5),
+    (FleetEvent("burst", 6, 4, 1.6),),
 )  # fmt: skip
 
 
-def test_a_plan_is_read_and_what_is_wrong_with_one_is_said() -> None:
+def test_plan_is_read_with_its_events_in_order_of_time() -> None:
     found = plan.read(
         'fleet "x" seed=3 softswitches=40 lasts-s=9 own-number="wrong" {\n servers 2 rate=9 lines=7\n'
         ' work again-s=0.2\n callers rate=50 spread=4\n event "slow" at=3 for-s=2 size=4 part=0.5\n'
         ' event "burst" at=1\n}'
     )
-    assert (found.seed, found.softswitches, found.kinds[0].count, found.crowd.rate) == (3, 40, 2, 50)
-    assert [one.what for one in found.happenings] == ["burst", "slow"]
+    assert (found.seed, found.softswitches, found.server_kinds[0].count, found.traffic.rate) == (3, 40, 2, 50)
+    assert [event.event_type for event in found.events] == ["burst", "slow"]
     assert found.capacity == 18
 
 
@@ -50,12 +53,12 @@
         'fleet "x" {\n queues 1\n}', 'fleet "x" own-number="seven"',
     ],
 )  # fmt: skip
-def test_bad_plans_are_refused(text: str) -> None:
+def test_invalid_plans_are_refused(text: str) -> None:
     with pytest.raises(KdlError):
         plan.read(text)
 
 
-def test_the_clock_keeps_the_order_of_moments_and_of_making() -> None:
+def test_clock_runs_callbacks_by_due_time_and_ties_by_scheduling_order() -> None:
     clock, seen = Clock(), list[str]()
     clock.after(5, seen.append, "c")
     clock.after(3, seen.append, "a")
@@ -66,97 +69,106 @@
     assert clock.now == 9
 
 
-class Ears(Edge):
-    """Hears what a processor says, and decides nothing."""
+class RecordingSoftswitch(SimulatedSoftswitch):
+    """Records the messages of a server, and decides nothing."""
 
     def __init__(self) -> None:
-        self.number, self.heard = 1, list[str]()
-        self.standing = {}
+        self.number, self.messages = 1, list[str]()
+        self.established = {}
 
-    def hear_answer(self, server: Processor, call: int, attempt: int) -> None:
-        self.heard.append(f"answer {call}")
+    def receive_answer(self, server: SimulatedServer, call: int, attempt: int) -> None:
+        self.messages.append(f"answer {call}")
 
-    def hear_full(self, server: Processor, call: int, attempt: int, no_line: bool) -> None:
-        self.heard.append(f"full {call} {no_line}")
+    def receive_full(self, server: SimulatedServer, call: int, attempt: int, no_line: bool) -> None:
+        self.messages.append(f"full {call} {no_line}")
 
-    def hear_over(self, server: Processor, call: int, attempt: int) -> None:
-        self.heard.append(f"over {call}")
+    def receive_release(self, server: SimulatedServer, call: int, attempt: int) -> None:
+        self.messages.append(f"over {call}")
 
 
-def test_a_processor_works_in_one_line_and_answers_wait_behind_set_ups() -> None:
-    clock, ears = Clock(), Ears()
-    server = Processor("s", 0, Kind(rate=10, lines=3, queue_s=1), Tariff(again_s=0), clock, 1)
+def test_server_has_one_queue_in_which_answers_wait_behind_set_ups() -> None:
+    clock, softswitch = Clock(), RecordingSoftswitch()
+    server = SimulatedServer(
+        "s", 0, ServerKind(rate=10, lines=3, queue_s=1), ServerBehaviour(retransmit_s=0), clock, 1
+    )
     for call in (1, 2, 3, 4):
-        server.set_up(ears, call, 0, hold=SECOND)
-    assert ears.heard == ["full 4 True"]
+        server.receive_set_up(softswitch, call, 0, holding_time=SECOND)
+    assert softswitch.messages == ["full 4 True"]
     clock.run(int(0.9 * SECOND))
-    assert ears.heard[1:] == ["answer 1", "answer 2", "answer 3"]
-    server.give_up(1, 2)  # a call that stands is cut: its line is free at once
-    assert server.free()["free"] == 1
+    assert softswitch.messages[1:] == ["answer 1", "answer 2", "answer 3"]
+    server.receive_cancel(1, 2)  # an answered call is cut: its line is free at once
+    assert server.free_lines()["free"] == 1
     clock.run(3 * SECOND)
-    assert ears.heard[4:] == ["over 1", "over 3"]
-    assert server.free()["free"] == 3
-    # Three calls are three set-ups, three answers and two releases, and the refusal of a fourth.
+    assert softswitch.messages[4:] == ["over 1", "over 3"]
+    assert server.free_lines()["free"] == 3
+    # Work of three set-ups, three answers, two releases, and the refusal of the fourth call.
     work = 3 + 3 * 0.35 + 2 * 0.35 + 0.2
-    assert server.worked() == pytest.approx(work / server.speed * SECOND, rel=0.01)
+    assert server.total_busy_ns() == pytest.approx(work / server.speed * SECOND, rel=0.01)
 
 
-def test_what_is_given_up_while_it_waits_costs_no_work_and_what_waits_is_sent_again() -> None:
-    clock, ears = Clock(), Ears()
-    server = Processor("s", 0, Kind(rate=1, lines=9, queue_s=9), Tariff(again_s=0.2), clock, 1)
-    server.set_up(ears, 1, 0, hold=SECOND)
-    server.set_up(ears, 2, 0, hold=SECOND)
+def test_cancelled_set_up_costs_no_work_and_queued_set_ups_are_retransmitted() -> None:
+    clock, softswitch = Clock(), RecordingSoftswitch()
+    server = SimulatedServer(
+        "s", 0, ServerKind(rate=1, lines=9, queue_s=9), ServerBehaviour(retransmit_s=0.2), clock, 1
+    )
+    server.receive_set_up(softswitch, 1, 0, holding_time=SECOND)
+    server.receive_set_up(softswitch, 2, 0, holding_time=SECOND)
     clock.run(SECOND // 2)
-    assert server.backlog > 1 + 0.35  # the second, and repeats of both
-    server.give_up(1, 2)
+    assert server.backlog > 1 + 0.35  # the second set-up, and retransmissions of both
+    server.receive_cancel(1, 2)
     clock.run(4 * SECOND)
-    assert ears.heard[0] == "answer 1"
-    assert "answer 2" not in ears.heard
+    assert softswitch.messages[0] == "answer 1"
+    assert "answer 2" not in softswitch.messages
 
 
-def same(one: Outcome, other: Outcome) -> bool:
-    return one.record == other.record and one.fates == other.fates and one.probes == other.probes
+def is_same_run(first_run: RunResult, second_run: RunResult) -> bool:
+    return (
+        first_run.record == second_run.record
+        and first_run.calls == second_run.calls
+        and first_run.probes == second_run.probes
+    )
 
 
-def test_the_same_plan_gives_the_same_play_and_another_seed_another() -> None:
-    short = replace(SMALL, lasts_s=5.0, happenings=())
-    first = Model(short).play()
-    assert same(first, Model(short).play())
-    assert not same(first, Model(replace(short, seed=2)).play())
+def test_run_is_reproducible_and_depends_on_the_seed() -> None:
+    short = replace(SMALL_FLEET, duration_s=5.0, events=())
+    first = Model(short).run()
+    assert is_same_run(first, Model(short).run())
+    assert not is_same_run(first, Model(replace(short, seed=2)).run())
 
 
-def test_every_call_has_one_fate_and_its_worth_is_counted_once() -> None:
-    outcome = Model(SMALL).play()
-    assert {fate.kind for fate in outcome.fates} <= {"stands", "refused", "failed"}
-    shares = [outcome.share(kind) for kind in ("stands", "refused", "failed")]
+def test_every_call_has_one_result_and_its_worth_is_counted_once() -> None:
+    result = Model(SMALL_FLEET).run()
+    assert {call.kind for call in result.calls} <= {"stands", "refused", "failed"}
+    shares = [result.share(kind) for kind in ("stands", "refused", "failed")]
     assert sum(shares) == pytest.approx(1)
-    assert 0.5 < outcome.worth() <= 1
-    assert "burst 6" in report.as_json(outcome)
-    assert any(line.startswith("all") for line in report.lines(outcome))
+    assert 0.5 < result.worth() <= 1
+    assert "burst 6" in report.as_json(result)
+    assert any(line.startswith("all") for line in report.format_lines(result))
 
 
 @pytest.mark.parametrize(
-    "happening",
+    "event",
     [
-        Happening("slow", 4, 3, 4, 0.3), Happening("silent", 4, 2, 1, 0.25), Happening("drain", 4, 3, 1, 0.3),
-        Happening("join", 4, 0, 1, 0.3), Happening("kill", 4, 0, 1, 0.7), Happening("shift", 4),
+        FleetEvent("slow", 4, 3, 4, 0.3), FleetEvent("silent", 4, 2, 1, 0.25),
+        FleetEvent("drain", 4, 3, 1, 0.3), FleetEvent("join", 4, 0, 1, 0.3),
+        FleetEvent("kill", 4, 0, 1, 0.7), FleetEvent("shift", 4),
     ],
-    ids=lambda happening: happening.what,
+    ids=lambda event: event.event_type,
 )  # fmt: skip
-@pytest.mark.parametrize("own", plan.NUMBERS)
-def test_a_fleet_comes_through_what_happens_to_it(happening: Happening, own: str) -> None:
-    script = replace(SMALL, softswitches=12, lasts_s=9.0, happenings=(happening,), own_number=own)
+@pytest.mark.parametrize("own_number", plan.OWN_NUMBER_MODES)
+def test_fleet_keeps_service_through_each_event(event: FleetEvent, own_number: str) -> None:
+    script = replace(SMALL_FLEET, softswitches=12, duration_s=9.0, events=(event,), own_number=own_number)
     model = Model(script)
-    outcome = model.play()
-    lost = sum(fate.kind == "lost" for fate in outcome.fates)
-    assert lost == 0 or (happening.what == "kill" and lost < 0.2 * len(outcome.fates))
-    assert outcome.worth(7.0) > 0.55
+    result = model.run()
+    lost = sum(call.kind == "lost" for call in result.calls)
+    assert lost == 0 or (event.event_type == "kill" and lost < 0.2 * len(result.calls))
+    assert result.worth(7.0) > 0.55
     gone = [name for name, server in model.servers.items() if server.state is ServerState.GONE]
-    late = [item for item in outcome.record.sent if item.server in gone and item.at > 4 + 3]
+    late = [item for item in result.record.sent if item.server in gone and item.at > 4 + 3]
     assert not late
-    assert {item.reason for item in outcome.record.sent} <= set(SendReason)
+    assert {item.reason for item in result.record.sent} <= set(SendReason)
 
 
 @pytest.mark.parametrize("path", sorted(EXAMPLES.glob("*.kdl")), ids=lambda path: path.stem)
-def test_the_example_plans_are_plans(path: Path) -> None:
+def test_example_plans_are_valid(path: Path) -> None:
     assert plan.read(path.read_text()).name == path.stem
--- a/wickstep/__main__.py
+++ b/wickstep/__main__.py
@@ -238,12 +238,12 @@
     from wickstep.fleet.model import Model
 
     script = read_form(plan_path, plan.read)
-    outcome = Model(script if seed is None else replace(script, seed=seed)).play()
-    click.echo("\n".join(report.lines(outcome)))
+    result = Model(script if seed is None else replace(script, seed=seed)).run()
+    click.echo("\n".join(report.format_lines(result)))
     if json_path is not None:
-        json_path.write_text(ujson.dumps(report.as_json(outcome)))
+        json_path.write_text(ujson.dumps(report.as_json(result)))
     if html_path is not None:
-        html_path.write_text(report.page(outcome, f"{script.name}, seed {outcome.plan.seed}"))
+        html_path.write_text(report.render_page(result, f"{script.name}, seed {result.plan.seed}"))
 
 
 @main.command()
--- a/wickstep/fleet/clock.py
+++ b/wickstep/fleet/clock.py
@@ -1,6 +1,6 @@
-"""The virtual clock of a model: what is due, in the order of its moments, and of its making within one.
+"""The virtual clock of a model: runs callbacks in the order of their due times, ties in that of scheduling.
 
-This file owns that time, in whole nanoseconds. It must never read a clock.
+This file owns the time of the model, in whole nanoseconds. It must never read a real clock.
 """
 
 from __future__ import annotations
@@ -15,23 +15,22 @@
 class Clock:
     def __init__(self) -> None:
         self.now = 0
-        self._due: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
-        self._made = 0
+        self._queue: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
+        self._sequence = 0
 
     @property
-    def at(self) -> float:
-        """Seconds."""
+    def now_s(self) -> float:
         return self.now / SECOND
 
-    def after(self, wait: int, do: Callable[..., None], *what: Any) -> None:
-        """Call `do(*what)` so many nanoseconds from now."""
-        self._made += 1
-        heapq.heappush(self._due, (self.now + max(wait, 0), self._made, do, what))
+    def after(self, delay: int, callback: Callable[..., None], *args: Any) -> None:
+        """Schedules `callback(*args)` to run `delay` nanoseconds from now."""
+        self._sequence += 1
+        heapq.heappush(self._queue, (self.now + max(delay, 0), self._sequence, callback, args))
 
     def run(self, until: int) -> None:
-        """Bring about all that is due before that moment."""
-        due = self._due
-        while due and due[0][0] < until:
-            self.now, _, do, what = heapq.heappop(due)
-            do(*what)
+        """Runs all callbacks that are due before `until`, then sets the clock to it."""
+        queue = self._queue
+        while queue and queue[0][0] < until:
+            self.now, _, callback, args = heapq.heappop(queue)
+            callback(*args)
         self.now = until
--- a/wickstep/fleet/model.py
+++ b/wickstep/fleet/model.py
@@ -1,7 +1,7 @@
-"""Plays a plan: the fleet, its servers, its callers, what happens to them; fills the record of spread.
+"""Runs a plan: the softswitches, their servers and callers, and the events; fills the record of spread.
 
-This file owns the course of a play. The same plan gives the same record: all randomness comes from its seed,
-and no clock but the virtual one is read.
+This file owns the course of a run. The same plan gives the same record: all randomness comes from the plan's
+seed, and no clock but the virtual one is read.
 """
 
 from __future__ import annotations
@@ -16,322 +16,349 @@
 from wickstep import interface as api
 from wickstep.brain import Controller
 from wickstep.fleet.clock import SECOND, Clock
-from wickstep.fleet.edge import Call, Edge
-from wickstep.fleet.plan import Happening, Kind, Plan
-from wickstep.fleet.processor import Processor
+from wickstep.fleet.plan import FleetEvent, FleetPlan, ServerKind
+from wickstep.fleet.processor import SimulatedServer
+from wickstep.fleet.softswitch import Call, SimulatedSoftswitch
 from wickstep.interface import ServerState
 from wickstep.spread.reasons import SendReason
 from wickstep.spread.record import BIN_S, Record, SentSetUp, ServerTimeline
 
-MakeController = Callable[[api.Settings, int], Controller]
+ControllerFactory = Callable[[api.Settings, int], Controller]
 
-# Part of the callers; times the plan's aim, wait and hold; worth, and the part of it if late.
-CLASSES = (
+# Share of the callers; factors on the plan's aim, wait and holding time; worth; share of the worth if late.
+CALL_CLASSES = (
     (0.73, 1.0, 1.0, 1.0, 1.0, 0.1),
     (0.05, 0.8, 0.67, 0.6, 6.0, 0.25),
     (0.22, 1.0, 1.0, 0.8, 3.0, 0.1),
 )
-PARTS = [*accumulate(part for part, *_ in CLASSES)]
-NOTICE_S = 1.0  # a list comes so much later, at most
-CALLER_PAUSE_S = (0.5, 1.5)  # before a refused caller tries again
-REST_S = 2.0  # after the last call
+CUMULATIVE_SHARES = [*accumulate(share for share, *_ in CALL_CLASSES)]
+MAX_LIST_DELAY_S = 1.0  # until a change of the pool list reaches a softswitch
+RETRY_PAUSE_S = (0.5, 1.5)  # before a refused caller tries again
+SETTLE_TIME_S = 2.0  # for which the run continues after the last call
 
 
 @dataclass(slots=True)
-class Fate:
-    """What became of one first try, with the callers' repeats."""
+class CallResult:
+    """The result of one first try, including the caller's retries."""
 
-    asked: int
+    requested_at: int
     klass: int
     kind: str = "lost"
-    took: int = 0
+    delay: int = 0
     in_time: bool = False
 
 
 @dataclass(slots=True)
-class Outcome:
-    """A play: its record, and the fate of every first try."""
+class RunResult:
+    """A finished run: its record, and the result of each first try."""
 
-    plan: Plan
+    plan: FleetPlan
     record: Record
-    fates: list[Fate] = field(default_factory=list)
+    calls: list[CallResult] = field(default_factory=list)
     probes: int = 0
 
     def worth(self, begin: float = 0.0, end: float = math.inf) -> float:
-        """Worth served in time, and in part late, over worth asked for by the calls of [begin, end)."""
-        asked = earned = 0.0
-        for fate in self.fates:
-            if begin <= fate.asked / SECOND < end:
-                _, _, _, _, worth, late = CLASSES[fate.klass]
-                asked += worth
-                if fate.kind == "stands":
-                    earned += worth * (1.0 if fate.in_time else late)
-        return earned / asked if asked else 1.0
+        """Worth of the calls requested in [begin, end) that were served, late ones at their lower worth,
+        divided by the worth of all calls requested then."""
+        requested = earned = 0.0
+        for call in self.calls:
+            if begin <= call.requested_at / SECOND < end:
+                _, _, _, _, worth, late = CALL_CLASSES[call.klass]
+                requested += worth
+                if call.kind == "stands":
+                    earned += worth * (1.0 if call.in_time else late)
+        return earned / requested if requested else 1.0
 
     def share(self, kind: str, begin: float = 0.0, end: float = math.inf) -> float:
-        these = [fate for fate in self.fates if begin <= fate.asked / SECOND < end]
-        return sum(fate.kind == kind for fate in these) / len(these) if these else 0.0
+        selected = [call for call in self.calls if begin <= call.requested_at / SECOND < end]
+        return sum(call.kind == kind for call in selected) / len(selected) if selected else 0.0
 
-    def waits(self, begin: float = 0.0, end: float = math.inf) -> list[float]:
-        """Sorted, in seconds, of the calls that stood."""
+    def delays(self, begin: float = 0.0, end: float = math.inf) -> list[float]:
+        """Set-up delays of the calls that were set up, in seconds, sorted."""
         return sorted(
-            fate.took / SECOND
-            for fate in self.fates
-            if fate.kind == "stands" and begin <= fate.asked / SECOND < end
+            call.delay / SECOND
+            for call in self.calls
+            if call.kind == "stands" and begin <= call.requested_at / SECOND < end
         )
 
 
 class Model:
-    def __init__(self, plan: Plan, make: MakeController = Controller) -> None:
-        self.plan, self.make = plan, make
-        self.random = random.Random(plan.seed)
+    def __init__(self, plan: FleetPlan, make_controller: ControllerFactory = Controller) -> None:
+        self.plan, self.make_controller = plan, make_controller
+        self.rng = random.Random(plan.seed)
         self.clock = Clock()
-        self.record = Record(plan.lasts_s)
-        self.out = Outcome(plan, self.record)
-        self.servers: dict[str, Processor] = {}
-        self.worked: dict[str, int] = {}
+        self.record = Record(plan.duration_s)
+        self.result = RunResult(plan, self.record)
+        self.servers: dict[str, SimulatedServer] = {}
+        self.busy_before: dict[str, int] = {}  # busy time of each server at the end of the last bin
         self.sent_at: dict[tuple[int, int], int] = {}
-        self.numbers = 0
-        self.hold_s = plan.crowd.hold_s * sum(part * hold for part, _, _, hold, _, _ in CLASSES)
-        for kind in plan.kinds:
+        self.next_number = 0
+        self.hold_s = plan.traffic.hold_s * sum(share * hold for share, _, _, hold, _, _ in CALL_CLASSES)
+        for kind in plan.server_kinds:
             for _ in range(kind.count):
-                self._add(kind, self.numbers)
-                self.numbers += 1
-        self.fates: dict[tuple[int, int], Fate] = {}
-        self.serial = [0] * plan.softswitches
-        settings = self.settings()
-        self.edges = [self._edge(n, settings) for n in range(plan.softswitches)]
-        # An even fall in steps of one factor, from the busiest to the quietest.
+                self._add_server(kind, self.next_number)
+                self.next_number += 1
+        self.unfinished: dict[tuple[int, int], CallResult] = {}  # by softswitch and call
+        self.last_call = [0] * plan.softswitches  # number of the last call of each softswitch
+        settings = self.make_settings()
+        self.switches = [self._make_softswitch(n, settings) for n in range(plan.softswitches)]
+        # Traffic falls geometrically from the busiest softswitch to the quietest.
         steps = max(plan.softswitches - 1, 1)
-        traffic = [plan.crowd.spread ** -(n / steps) for n in range(plan.softswitches)]
-        self.traffic = [*accumulate(traffic)]
-        self.wishes: list[float] = []
-        self._wish()
-        self.rate = plan.crowd.rate
+        traffic = [plan.traffic.busiest_ratio ** -(n / steps) for n in range(plan.softswitches)]
+        self.cumulative_traffic = [*accumulate(traffic)]
+        self.cumulative_choices: list[float] = []
+        self._draw_choice_weights()
+        self.rate = plan.traffic.rate
 
-    def settings(self) -> api.Settings:
+    def make_settings(self) -> api.Settings:
         plan = self.plan
-        crowd = plan.crowd
+        traffic = plan.traffic
         classes = tuple(
             api.CallClass(
-                int(crowd.aim_s * aim * SECOND), worth, late, api.Effect.SAFE, None,
-                int(crowd.hold_s * hold * SECOND),
+                int(traffic.aim_s * aim * SECOND), worth, late, api.Effect.SAFE, None,
+                int(traffic.hold_s * hold * SECOND),
             )
-            for _, aim, _, hold, worth, late in CLASSES
+            for _, aim, _, hold, worth, late in CALL_CLASSES
         )  # fmt: skip
         return api.Settings(
             classes=classes, proxies=plan.softswitches, max_attempts=5, max_retry_after=2 * SECOND,
-            retransmit=int(plan.tariff.again_s * SECOND), release_wait=SECOND // 5, drain_grace=2 * SECOND,
-            cold_from=plan.tariff.cold_from, ramp_time=int(plan.tariff.cold_s * SECOND), fall_multiple=2.5,
-            fall_window=3 * SECOND // 2, may_cancel=True, may_probe=True, may_message=False,
-            heeds_retry_after=True, list_on_request=False, own_number=-1,
+            retransmit=int(plan.behaviour.retransmit_s * SECOND), release_wait=SECOND // 5,
+            drain_grace=2 * SECOND, cold_from=plan.behaviour.cold_from,
+            ramp_time=int(plan.behaviour.cold_s * SECOND), fall_multiple=2.5, fall_window=3 * SECOND // 2,
+            may_cancel=True, may_probe=True, may_message=False, heeds_retry_after=True, list_on_request=False,
+            own_number=-1,
         )  # fmt: skip
 
-    def _edge(self, number: int, settings: api.Settings) -> Edge:
+    def _make_softswitch(self, number: int, settings: api.Settings) -> SimulatedSoftswitch:
         wrong = (number * 7 + 3) % max(self.plan.softswitches // 3, 1)
-        told = {"told": number, "unknown": -1, "wrong": wrong}
-        own = replace(settings, own_number=told[self.plan.own_number])
-        return Edge(number, self.make(own, self.random.randrange(2**63)), self)
+        own_numbers = {"told": number, "unknown": -1, "wrong": wrong}
+        own_settings = replace(settings, own_number=own_numbers[self.plan.own_number])
+        return SimulatedSoftswitch(
+            number, self.make_controller(own_settings, self.rng.randrange(2**63)), self
+        )
 
-    def _add(self, kind: Kind, number: int, born: int | None = None) -> Processor:
+    def _add_server(self, kind: ServerKind, number: int, started_at: int | None = None) -> SimulatedServer:
         name = f"s-{len(self.servers):02}"
-        seed = self.random.randrange(2**31)
-        server = Processor(name, number, kind, self.plan.tariff, self.clock, seed)
+        seed = self.rng.randrange(2**31)
+        server = SimulatedServer(name, number, kind, self.plan.behaviour, self.clock, seed)
         server.hold_s = self.hold_s
-        if born is not None:
-            server.born = born
+        if started_at is not None:
+            server.started_at = started_at
         self.servers[name] = server
-        self.worked[name] = 0
-        life = self.record.servers[name] = ServerTimeline()
-        done = int(self.clock.at / BIN_S)
-        life.capacity, life.idle = [0.0] * done, [0.0] * done
-        self.clock.after(int(self.random.random() * self.plan.tariff.report_s * SECOND), server.look)
-        phase = int(self.random.random() * self.plan.tariff.told_s * SECOND)
-        self.clock.after(phase, self._tell_free, server)
+        self.busy_before[name] = 0
+        timeline = self.record.servers[name] = ServerTimeline()
+        bins = int(self.clock.now_s / BIN_S)
+        timeline.capacity, timeline.idle = [0.0] * bins, [0.0] * bins
+        self.clock.after(
+            int(self.rng.random() * self.plan.behaviour.report_interval_s * SECOND), server.refresh_report
+        )
+        phase = int(self.rng.random() * self.plan.behaviour.free_interval_s * SECOND)
+        self.clock.after(phase, self._send_free_lines, server)
         return server
 
-    def _tell_free(self, server: Processor) -> None:
-        """Free lines, to all softswitches at the same moment but for the way."""
+    def _send_free_lines(self, server: SimulatedServer) -> None:
+        """Reports free lines to all softswitches at once; each report takes the one-way delay."""
         if server.state is ServerState.GONE:
             return
         if not server.silent:
-            for edge in self.edges:
-                self.clock.after(int(server.kind.way_s * SECOND / 2), edge.hear_free, server)
-        self.clock.after(int(self.plan.tariff.told_s * SECOND), self._tell_free, server)
-
-    def _wish(self) -> None:
-        """How first choices fall on servers: by their capacity, off by so much."""
-        uneven = self.plan.crowd.uneven
-        spread = math.sqrt(math.log(1 + uneven * uneven))
+            for softswitch in self.switches:
+                self.clock.after(
+                    int(server.kind.round_trip_s * SECOND / 2), softswitch.receive_free_lines, server
+                )
+        self.clock.after(int(self.plan.behaviour.free_interval_s * SECOND), self._send_free_lines, server)
+
+    def _draw_choice_weights(self) -> None:
+        """Draws how first choices are distributed over servers: by capacity, off by the plan's unevenness."""
+        unevenness = self.plan.traffic.unevenness
+        sigma = math.sqrt(math.log(1 + unevenness * unevenness))
         active = [s for s in self.servers.values() if s.state is ServerState.ACTIVE]
         numbers = sorted({s.number for s in active})
-        self.wanted = numbers
-        by_number = {n: max(s.kind.rate * s.kind.wish for s in active if s.number == n) for n in numbers}
-        self.wishes = [*accumulate(by_number[n] * math.exp(self.random.gauss(0, spread)) for n in numbers)]
+        self.choices = numbers
+        weights = {
+            n: max(s.kind.rate * s.kind.choice_weight for s in active if s.number == n) for n in numbers
+        }
+        self.cumulative_choices = [
+            *accumulate(weights[n] * math.exp(self.rng.gauss(0, sigma)) for n in numbers)
+        ]
 
-    # The play.
+    # The run.
 
-    def play(self) -> Outcome:
+    def run(self) -> RunResult:
         plan = self.plan
-        entries = [self._entry(server) for server in self.servers.values()]
-        for edge in self.edges:
-            edge.tell(api.Started())
-            edge.tell(api.ServerList(api.ListKind.COMPLETE, tuple(entries)))
-        self._stand()
-        for happening in plan.happenings:
-            self.clock.after(int(happening.at * SECOND), self._happen, happening)
-        self.clock.after(0, self._bin)
-        self._next_call()
-        self.clock.run(int((plan.lasts_s + plan.crowd.wait_s + REST_S) * SECOND))
-        return self.out
-
-    def _stand(self) -> None:
-        """Calls from before the beginning: they have lines, and end when they end."""
-        hold = self.hold_s
+        entries = [self._list_entry(server) for server in self.servers.values()]
+        for softswitch in self.switches:
+            softswitch.dispatch(api.Started())
+            softswitch.dispatch(api.ServerList(api.ListKind.COMPLETE, tuple(entries)))
+        self._add_earlier_calls()
+        for event in plan.events:
+            self.clock.after(int(event.at * SECOND), self._apply_event, event)
+        self.clock.after(0, self._record_bin)
+        self._place_next_call()
+        self.clock.run(int((plan.duration_s + plan.traffic.wait_s + SETTLE_TIME_S) * SECOND))
+        return self.result
+
+    def _add_earlier_calls(self) -> None:
+        """Adds calls from before the start of the run: they occupy lines until they end."""
+        hold_s = self.hold_s
         for server in self.servers.values():
-            for number in range(round(server.kind.standing * server.kind.lines)):
-                edge = self.edges[self._drawn(self.traffic)]
-                server.stand(edge, -number - 1, int(self.random.expovariate(1 / hold) * SECOND))
-
-    def _entry(self, server: Processor) -> api.ServerEntry:
-        started = server.born if server.born > 0 else 0
+            for number in range(round(server.kind.initial_occupancy * server.kind.lines)):
+                softswitch = self.switches[self._draw_index(self.cumulative_traffic)]
+                server.add_earlier_call(
+                    softswitch, -number - 1, int(self.rng.expovariate(1 / hold_s) * SECOND)
+                )
+
+    def _list_entry(self, server: SimulatedServer) -> api.ServerEntry:
+        started = server.started_at if server.started_at > 0 else 0
         return api.ServerEntry(server.name, server.number, started, server.state)
 
-    def _next_call(self) -> None:
-        if self.clock.at >= self.plan.lasts_s:
+    def _place_next_call(self) -> None:
+        if self.clock.now_s >= self.plan.duration_s:
             return
-        self.clock.after(int(self.random.expovariate(self.rate) * SECOND), self._next_call)
-        edge = self.edges[self._drawn(self.traffic)]
-        klass = self._drawn(PARTS)
-        wanted = self.wanted[self._drawn(self.wishes)]
-        fate = Fate(self.clock.now, klass)
-        self.out.fates.append(fate)
-        self._ask(edge, klass, wanted, fate, repeat=False)
-
-    def _drawn(self, sums: list[float]) -> int:
-        return min(bisect(sums, self.random.random() * sums[-1]), len(sums) - 1)
-
-    def _ask(self, edge: Edge, klass: int, wanted: int, fate: Fate, repeat: bool) -> None:
-        if edge.dead:
+        self.clock.after(int(self.rng.expovariate(self.rate) * SECOND), self._place_next_call)
+        softswitch = self.switches[self._draw_index(self.cumulative_traffic)]
+        klass = self._draw_index(CUMULATIVE_SHARES)
+        first_choice = self.choices[self._draw_index(self.cumulative_choices)]
+        result = CallResult(self.clock.now, klass)
+        self.result.calls.append(result)
+        self._place_call(softswitch, klass, first_choice, result, is_retry=False)
+
+    def _draw_index(self, cumulative: list[float]) -> int:
+        return min(bisect(cumulative, self.rng.random() * cumulative[-1]), len(cumulative) - 1)
+
+    def _place_call(self, softswitch: SimulatedSoftswitch, klass: int, first_choice: int, result: CallResult,
+                    is_retry: bool) -> None:  # fmt: skip
+        if softswitch.dead:
             return
-        crowd = self.plan.crowd
-        _, aim, wait, hold, _, _ = CLASSES[klass]
+        traffic = self.plan.traffic
+        _, aim, wait, hold, _, _ = CALL_CLASSES[klass]
         now = self.clock.now
-        self.serial[edge.number] += 1
-        number = self.serial[edge.number]
-        held = int(self.random.expovariate(1 / (crowd.hold_s * hold)) * SECOND)
+        self.last_call[softswitch.number] += 1
+        number = self.last_call[softswitch.number]
+        holding_time = int(self.rng.expovariate(1 / (traffic.hold_s * hold)) * SECOND)
         call = Call(
-            number, now, wanted, klass, int(crowd.aim_s * aim * SECOND),
-            now + int(crowd.wait_s * wait * SECOND), repeat, held,
+            number, now, first_choice, klass, int(traffic.aim_s * aim * SECOND),
+            now + int(traffic.wait_s * wait * SECOND), is_retry, holding_time,
         )  # fmt: skip
-        self.fates[(edge.number, number)] = fate
-        edge.take(call)
-
-    def sent(self, softswitch: int, server: Processor, why: SendReason) -> None:
-        self.record.sent.append(SentSetUp(self.clock.at, softswitch, server.name, why))
-
-    def full(self, server: Processor) -> None:
-        self.record.full.append((self.clock.at, server.name))
-
-    def ended(self, edge: Edge, call: Call, kind: str, away: int) -> None:
-        """The final answer of a call, as its caller hears it."""
-        fate = self.fates.pop((edge.number, call.number))
-        took = self.clock.now - fate.asked
-        fate.kind, fate.took, fate.in_time = kind, took, took <= call.aim
-        waited = self.clock.now - call.asked
+        self.unfinished[(softswitch.number, number)] = result
+        softswitch.take_call(call)
+
+    def record_sent(self, softswitch: int, server: SimulatedServer, reason: SendReason) -> None:
+        self.record.sent.append(SentSetUp(self.clock.now_s, softswitch, server.name, reason))
+
+    def record_full(self, server: SimulatedServer) -> None:
+        self.record.full.append((self.clock.now_s, server.name))
+
+    def call_finished(
+        self, softswitch: SimulatedSoftswitch, call: Call, kind: str, retry_after: int
+    ) -> None:
+        """Records the final answer of a call; a refused caller may try once more."""
+        result = self.unfinished.pop((softswitch.number, call.number))
+        delay = self.clock.now - result.requested_at
+        result.kind, result.delay, result.in_time = kind, delay, delay <= call.aim
+        waited = self.clock.now - call.requested_at
         if waited > call.aim:
-            self.record.overdue.append(((call.asked + call.aim) / SECOND, self.clock.at))
+            self.record.overdue.append(((call.requested_at + call.aim) / SECOND, self.clock.now_s))
         if kind == "refused":
-            self.record.refused.append(self.clock.at)
-            if not call.repeat and self.random.random() < self.plan.crowd.again:
-                pause = int(max(self.random.uniform(*CALLER_PAUSE_S) * SECOND, away))
-                self.clock.after(pause, self._ask, edge, call.klass, call.wanted, fate, True)
-
-    def _bin(self) -> None:
-        """What each server could do, and how long it had nothing to do, in the span that ends now."""
+            self.record.refused.append(self.clock.now_s)
+            if not call.is_retry and self.rng.random() < self.plan.traffic.retry_share:
+                pause = int(max(self.rng.uniform(*RETRY_PAUSE_S) * SECOND, retry_after))
+                self.clock.after(
+                    pause, self._place_call, softswitch, call.klass, call.first_choice, result, True
+                )
+
+    def _record_bin(self) -> None:
+        """Records each server's capacity, and the fraction of time it was idle, in the bin that ends now."""
         for name, server in self.servers.items():
-            life = self.record.servers[name]
-            worked = server.worked()
+            timeline = self.record.servers[name]
+            busy = server.total_busy_ns()
             if self.clock.now:
-                done = (worked - self.worked[name]) / (BIN_S * SECOND)
-                there = server.state is ServerState.ACTIVE
-                life.capacity.append(server.able() if there else 0.0)
-                usable = not server.silent and len(server.standing) < server.kind.lines
-                life.idle.append(min(max(1.0 - done, 0.0), 1.0) * usable)
-            self.worked[name] = worked
-        if self.clock.at < self.plan.lasts_s:
-            self.clock.after(int(BIN_S * SECOND), self._bin)
-
-    # What happens.
-
-    def _some(self, part: float) -> list[Processor]:
+                busy_fraction = (busy - self.busy_before[name]) / (BIN_S * SECOND)
+                is_active = server.state is ServerState.ACTIVE
+                timeline.capacity.append(server.capacity() if is_active else 0.0)
+                usable = not server.silent and len(server.occupied) < server.kind.lines
+                timeline.idle.append(min(max(1.0 - busy_fraction, 0.0), 1.0) * usable)
+            self.busy_before[name] = busy
+        if self.clock.now_s < self.plan.duration_s:
+            self.clock.after(int(BIN_S * SECOND), self._record_bin)
+
+    # Events.
+
+    def _sample_servers(self, part: float) -> list[SimulatedServer]:
         active = [s for s in self.servers.values() if s.state is ServerState.ACTIVE]
-        return self.random.sample(active, min(max(round(part * len(active)), 1), len(active)))
+        return self.rng.sample(active, min(max(round(part * len(active)), 1), len(active)))
 
-    def _happen(self, happening: Happening) -> None:
-        until = int(happening.for_s * SECOND)
-        match happening.what:
+    def _apply_event(self, event: FleetEvent) -> None:
+        duration = int(event.length_s * SECOND)
+        match event.event_type:
             case "burst":
-                self.rate = self.plan.crowd.rate * happening.size
-                self.clock.after(until, self._calm)
+                self.rate = self.plan.traffic.rate * event.factor
+                self.clock.after(duration, self._end_burst)
             case "shift":
-                self._wish()
+                self._draw_choice_weights()
             case "slow":
-                for server in self._some(happening.part):
-                    server.slowness = happening.size
-                    self.clock.after(until, self._quick, server)
+                for server in self._sample_servers(event.part):
+                    server.slowdown = event.factor
+                    self.clock.after(duration, self._end_slowdown, server)
             case "silent":
-                for server in self._some(happening.part):
+                for server in self._sample_servers(event.part):
                     server.silent = True
-                    self.clock.after(until, self._heard_again, server)
+                    self.clock.after(duration, self._end_silence, server)
             case "drain":
-                self._drain(self._some(happening.part), until)
+                self._start_drain(self._sample_servers(event.part), duration)
             case "join":
-                for server in self._some(happening.part):
-                    self.tell([self._add(server.kind, self.numbers, self.clock.now)])
-                    self.numbers += 1
-                self._wish()
+                for server in self._sample_servers(event.part):
+                    self.send_list_changes([self._add_server(server.kind, self.next_number, self.clock.now)])
+                    self.next_number += 1
+                self._draw_choice_weights()
             case "kill":
-                for edge in self.random.sample(self.edges, round(happening.part * len(self.edges))):
-                    self._kill(edge)
+                for softswitch in self.rng.sample(
+                    self.switches, round(event.part * len(self.switches))
+                ):
+                    self._kill(softswitch)
 
-    def _calm(self) -> None:
-        self.rate = self.plan.crowd.rate
+    def _end_burst(self) -> None:
+        self.rate = self.plan.traffic.rate
 
-    def _quick(self, server: Processor) -> None:
-        server.slowness = 1.0
+    def _end_slowdown(self, server: SimulatedServer) -> None:
+        server.slowdown = 1.0
 
-    def _heard_again(self, server: Processor) -> None:
+    def _end_silence(self, server: SimulatedServer) -> None:
         server.silent = False
-        server.go_on()
+        server.resume()
 
-    def _drain(self, servers: list[Processor], until: int) -> None:
+    def _start_drain(self, servers: list[SimulatedServer], duration: int) -> None:
         for server in servers:
             server.state = ServerState.DRAINING
-        self.tell(servers)
-        self._wish()
-        self.clock.after(until, self._gone, servers)
+        self.send_list_changes(servers)
+        self._draw_choice_weights()
+        self.clock.after(duration, self._remove_servers, servers)
 
-    def _gone(self, servers: list[Processor]) -> None:
+    def _remove_servers(self, servers: list[SimulatedServer]) -> None:
         for server in servers:
             server.state = ServerState.GONE
-        self.tell(servers)
-
-    def tell(self, servers: list[Processor]) -> None:
-        """A change of the list, heard by each softswitch at a drawn moment."""
-        event = api.ServerList(api.ListKind.CHANGES, tuple(self._entry(server) for server in servers))
-        for edge in self.edges:
-            self.clock.after(int(self.random.random() * NOTICE_S * SECOND), edge.tell, event)
-
-    def _kill(self, edge: Edge) -> None:
-        """Its process dies and is back at once, with nothing learned; what it had is lost."""
-        edge.dead = True
-        for call in [*edge.calls.values()]:
-            self.fates.pop((edge.number, call.number))
+        self.send_list_changes(servers)
+
+    def send_list_changes(self, servers: list[SimulatedServer]) -> None:
+        """Sends a change of the pool list, which reaches each softswitch after a random delay."""
+        event = api.ServerList(
+            api.ListKind.CHANGES, tuple(self._list_entry(server) for server in servers)
+        )
+        for softswitch in self.switches:
+            self.clock.after(
+                int(self.rng.random() * MAX_LIST_DELAY_S * SECOND), softswitch.dispatch, event
+            )
+
+    def _kill(self, softswitch: SimulatedSoftswitch) -> None:
+        """Kills and at once restarts a softswitch, which has then learned nothing and lost all its calls."""
+        softswitch.dead = True
+        for call in [*softswitch.calls.values()]:
+            self.unfinished.pop((softswitch.number, call.number))
             call.ended = True
             if call.server is not None:
-                call.server.give_up(edge.number, call.number)
-        fresh = self.edges[edge.number] = self._edge(edge.number, self.settings())
-        fresh.tell(api.Started())
-        entries = tuple(self._entry(s) for s in self.servers.values() if s.state is not ServerState.GONE)
-        fresh.tell(api.ServerList(api.ListKind.COMPLETE, entries))
+                call.server.receive_cancel(softswitch.number, call.number)
+        restarted = self.switches[softswitch.number] = self._make_softswitch(
+            softswitch.number, self.make_settings()
+        )
+        restarted.dispatch(api.Started())
+        entries = tuple(self._list_entry(s) for s in self.servers.values() if s.state is not ServerState.GONE)
+        restarted.dispatch(api.ServerList(api.ListKind.COMPLETE, entries))
--- a/wickstep/fleet/plan.py
+++ b/wickstep/fleet/plan.py
@@ -1,7 +1,7 @@
-"""A model's script: which servers, how many softswitches, who calls, what happens when. KDL in, plain objects
-out; times in seconds, rates a second.
+"""The plan of a model run: which servers, how many softswitches, which callers, which events. Read from KDL
+into plain objects; times in seconds, rates per second.
 
-This file owns that form. It must never open a file or start anything.
+This file owns that format. It must never open a file or start anything.
 """
 
 from __future__ import annotations
@@ -10,159 +10,160 @@
 
 from wickstep.forms import KdlError, KdlNode, parse_root
 
-SOFTSWITCHES_MOST, SERVERS_MOST = 1000, 100
-RATE_MOST = 100_000.0
-LASTS_MOST = 600.0
-EVENTS = ("burst", "slow", "drain", "join", "silent", "kill", "shift")
-NUMBERS = ("told", "unknown", "wrong")
+MAX_SOFTSWITCHES, MAX_SERVERS = 1000, 100
+MAX_RATE = 100_000.0
+MAX_DURATION_S = 600.0
+EVENT_TYPES = ("burst", "slow", "drain", "join", "silent", "kill", "shift")
+OWN_NUMBER_MODES = ("told", "unknown", "wrong")
 
 
 @dataclass(slots=True, frozen=True)
-class Kind:
-    """So many servers of one kind."""
+class ServerKind:
+    """A number of servers that are alike."""
 
     count: int = 3
-    rate: float = 60.0  # calls a second that its one line can do, with their answers and releases
+    rate: float = 60.0  # calls per second that its processor can do, including their answers and releases
     lines: int = 1000
-    queue_s: float = 3.0  # a longer wait is refused
-    way_s: float = 0.007  # to it and back, once
-    wish: float = 1.0  # part of the callers that want it first, against its rate
-    standing: float = 0.5  # part of the lines that calls from before the beginning have
+    queue_s: float = 3.0  # a set-up is refused while the queueing delay is longer
+    round_trip_s: float = 0.007  # network round trip between a softswitch and the server
+    choice_weight: float = 1.0  # of callers that have it as their first choice, relative to its rate
+    initial_occupancy: float = 0.5  # share of the lines that calls from before the start of the run occupy
 
 
 @dataclass(slots=True, frozen=True)
-class Tariff:
-    """What servers do alike: parts of the work of a set-up, and times."""
-
-    refusal: float = 0.2  # work of a refusal, in set-ups
-    answer: float = 0.35  # work of an answer, and of a release, in set-ups
-    again: float = 0.45  # work of a set-up that is sent again since it still waits,
-    again_s: float = 0.4  # first after so long, then at doubling gaps; 0: never
-    told_s: float = 1.0  # how often free lines are told unasked
-    report_s: float = 0.5  # how often the figures of a report are made anew
-    report_late_s: float = 0.15  # how old they are then
-    noise: float = 0.08  # of a reported wait, as a part of it
+class ServerBehaviour:
+    """What all servers have in common: the work of messages, relative to that of a set-up, and times."""
+
+    refusal_work: float = 0.2
+    answer_work: float = 0.35  # of an answer, and of a release
+    retransmit_work: float = 0.45  # of a set-up that is retransmitted while it is still queued
+    retransmit_s: float = 0.4  # delay of the first retransmission, doubled each time; 0: never
+    free_interval_s: float = 1.0  # between two unsolicited reports of free lines
+    report_interval_s: float = 0.5  # between two updates of the figures in a report
+    report_delay_s: float = 0.15  # age of the figures when they are published
+    report_noise: float = 0.08  # standard deviation of a reported wait, relative to it
     cold_from: float = 0.4
     cold_s: float = 12.0
 
 
 @dataclass(slots=True, frozen=True)
-class Crowd:
-    """Who calls."""
+class CallerTraffic:
+    """The callers of the whole fleet."""
 
     rate: float = 600.0  # first tries, over all softswitches
     aim_s: float = 1.5
     wait_s: float = 9.0
     hold_s: float = 8.0
-    spread: float = 10.0  # the busiest softswitch has so many times the traffic of the quietest
-    uneven: float = 0.0  # how far wishes for servers are off their capacities: 0.5 is by a half, typically
-    again: float = 0.4  # part of the refused that try once more, in 0.5 to 1.5 s
+    busiest_ratio: float = 10.0  # traffic of the busiest softswitch over that of the quietest
+    unevenness: float = 0.0  # typical relative deviation of first choices from capacities: 0.5 is by a half
+    retry_share: float = 0.4  # share of the refused callers that try once more, after 0.5 to 1.5 s
 
 
 @dataclass(slots=True, frozen=True)
-class Happening:
-    what: str
+class FleetEvent:
+    event_type: str
     at: float
-    for_s: float = 0.0
-    size: float = 1.0  # burst: times the rate; slow: times the work
-    part: float = 1.0  # of the servers (slow, drain, join, silent) or softswitches (kill)
+    length_s: float = 0.0
+    factor: float = 1.0  # burst: multiplies the rate; slow: multiplies the work
+    part: float = 1.0  # share of the servers (slow, drain, join, silent) or of the softswitches (kill)
 
 
 @dataclass(slots=True, frozen=True)
-class Plan:
+class FleetPlan:
     name: str
     seed: int
     softswitches: int
-    lasts_s: float
-    kinds: tuple[Kind, ...] = (Kind(),)
-    tariff: Tariff = Tariff()
-    crowd: Crowd = Crowd()
-    happenings: tuple[Happening, ...] = ()
+    duration_s: float
+    server_kinds: tuple[ServerKind, ...] = (ServerKind(),)
+    behaviour: ServerBehaviour = ServerBehaviour()
+    traffic: CallerTraffic = CallerTraffic()
+    events: tuple[FleetEvent, ...] = ()
     own_number: str = "told"
 
     @property
     def capacity(self) -> float:
-        return sum(kind.count * kind.rate for kind in self.kinds)
-
-
-def read(text: str) -> Plan:
-    """A plan from its text; raises KdlError with what is wrong."""
-    form = parse_root(text, "fleet")
-    name = form.take_text("")
-    seed = form.take_integer("seed", 1, 0, 2**31)
-    softswitches = form.take_integer("softswitches", 200, 1, SOFTSWITCHES_MOST)
-    lasts = form.take_number("lasts-s", 30, 1, LASTS_MOST)
-    own = form.take_text("own-number", NUMBERS[0], NUMBERS)
-    kinds: list[Kind] = []
-    happenings: list[Happening] = []
-    tariff, crowd = Tariff(), Crowd()
-    for child in form.take_children("servers", "work", "callers", "event"):
+        return sum(kind.count * kind.rate for kind in self.server_kinds)
+
+
+def read(text: str) -> FleetPlan:
+    """Parses a plan; raises KdlError that says what is wrong."""
+    root = parse_root(text, "fleet")
+    name = root.take_text("")
+    seed = root.take_integer("seed", 1, 0, 2**31)
+    softswitches = root.take_integer("softswitches", 200, 1, MAX_SOFTSWITCHES)
+    duration = root.take_number("lasts-s", 30, 1, MAX_DURATION_S)
+    own_number = root.take_text("own-number", OWN_NUMBER_MODES[0], OWN_NUMBER_MODES)
+    server_kinds: list[ServerKind] = []
+    events: list[FleetEvent] = []
+    behaviour, traffic = ServerBehaviour(), CallerTraffic()
+    for child in root.take_children("servers", "work", "callers", "event"):
         if child.name == "servers":
-            kinds.append(_kind(child))
+            server_kinds.append(_read_servers(child))
         elif child.name == "work":
-            tariff = _tariff(child)
+            behaviour = _read_behaviour(child)
         elif child.name == "callers":
-            crowd = _crowd(child)
+            traffic = _read_traffic(child)
         else:
-            happenings.append(_happening(child, lasts))
+            events.append(_read_event(child, duration))
         child.reject_unread()
-    form.reject_unread()
-    if sum(kind.count for kind in kinds) > SERVERS_MOST:
-        raise KdlError(f"more than {SERVERS_MOST} servers")
-    happenings.sort(key=lambda one: one.at)
-    return Plan(
-        name, seed, softswitches, lasts, tuple(kinds) or (Kind(),), tariff, crowd, tuple(happenings), own
+    root.reject_unread()
+    if sum(kind.count for kind in server_kinds) > MAX_SERVERS:
+        raise KdlError(f"too many servers: expected {MAX_SERVERS} at most")
+    events.sort(key=lambda event: event.at)
+    return FleetPlan(
+        name, seed, softswitches, duration, tuple(server_kinds) or (ServerKind(),), behaviour, traffic,
+        tuple(events), own_number,
+    )  # fmt: skip
+
+
+def _read_servers(node: KdlNode) -> ServerKind:
+    defaults = ServerKind()
+    return ServerKind(
+        count=node.take_integer("", defaults.count, 1, MAX_SERVERS),
+        rate=node.take_number("rate", defaults.rate, 0.1, MAX_RATE),
+        lines=node.take_integer("lines", defaults.lines, 1, 1_000_000),
+        queue_s=node.take_number("queue-s", defaults.queue_s, 0.01, 60),
+        round_trip_s=node.take_number("way-s", defaults.round_trip_s, 0, 1),
+        choice_weight=node.take_number("wish", defaults.choice_weight, 0, 100),
+        initial_occupancy=node.take_number("standing", defaults.initial_occupancy, 0, 1),
     )
 
 
-def _kind(form: KdlNode) -> Kind:
-    plain = Kind()
-    return Kind(
-        count=form.take_integer("", plain.count, 1, SERVERS_MOST),
-        rate=form.take_number("rate", plain.rate, 0.1, RATE_MOST),
-        lines=form.take_integer("lines", plain.lines, 1, 1_000_000),
-        queue_s=form.take_number("queue-s", plain.queue_s, 0.01, 60),
-        way_s=form.take_number("way-s", plain.way_s, 0, 1),
-        wish=form.take_number("wish", plain.wish, 0, 100),
-        standing=form.take_number("standing", plain.standing, 0, 1),
+def _read_behaviour(node: KdlNode) -> ServerBehaviour:
+    defaults = ServerBehaviour()
+    return ServerBehaviour(
+        refusal_work=node.take_number("refusal", defaults.refusal_work, 0, 1),
+        answer_work=node.take_number("answer", defaults.answer_work, 0, 1),
+        retransmit_work=node.take_number("again", defaults.retransmit_work, 0, 1),
+        retransmit_s=node.take_number("again-s", defaults.retransmit_s, 0, 60),
+        free_interval_s=node.take_number("told-s", defaults.free_interval_s, 0.01, 60),
+        report_interval_s=node.take_number("report-s", defaults.report_interval_s, 0.01, 60),
+        report_delay_s=node.take_number("report-late-s", defaults.report_delay_s, 0, 10),
+        report_noise=node.take_number("noise", defaults.report_noise, 0, 1),
+        cold_from=node.take_number("cold-from", defaults.cold_from, 0.01, 1),
+        cold_s=node.take_number("cold-s", defaults.cold_s, 0.1, 600),
     )
 
 
-def _tariff(form: KdlNode) -> Tariff:
-    plain = Tariff()
-    return Tariff(
-        refusal=form.take_number("refusal", plain.refusal, 0, 1),
-        answer=form.take_number("answer", plain.answer, 0, 1),
-        again=form.take_number("again", plain.again, 0, 1),
-        again_s=form.take_number("again-s", plain.again_s, 0, 60),
-        told_s=form.take_number("told-s", plain.told_s, 0.01, 60),
-        report_s=form.take_number("report-s", plain.report_s, 0.01, 60),
-        report_late_s=form.take_number("report-late-s", plain.report_late_s, 0, 10),
-        noise=form.take_number("noise", plain.noise, 0, 1),
-        cold_from=form.take_number("cold-from", plain.cold_from, 0.01, 1),
-        cold_s=form.take_number("cold-s", plain.cold_s, 0.1, 600),
+def _read_traffic(node: KdlNode) -> CallerTraffic:
+    defaults = CallerTraffic()
+    return CallerTraffic(
+        rate=node.take_number("rate", defaults.rate, 0.1, MAX_RATE),
+        aim_s=node.take_number("aim-s", defaults.aim_s, 0.05, 60),
+        wait_s=node.take_number("wait-s", defaults.wait_s, 0.1, 120),
+        hold_s=node.take_number("hold-s", defaults.hold_s, 0.01, 3600),
+        busiest_ratio=node.take_number("spread", defaults.busiest_ratio, 1, 1000),
+        unevenness=node.take_number("uneven", defaults.unevenness, 0, 3),
+        retry_share=node.take_number("again", defaults.retry_share, 0, 1),
     )
 
 
-def _crowd(form: KdlNode) -> Crowd:
-    plain = Crowd()
-    return Crowd(
-        rate=form.take_number("rate", plain.rate, 0.1, RATE_MOST),
-        aim_s=form.take_number("aim-s", plain.aim_s, 0.05, 60),
-        wait_s=form.take_number("wait-s", plain.wait_s, 0.1, 120),
-        hold_s=form.take_number("hold-s", plain.hold_s, 0.01, 3600),
-        spread=form.take_number("spread", plain.spread, 1, 1000),
-        uneven=form.take_number("uneven", plain.uneven, 0, 3),
-        again=form.take_number("again", plain.again, 0, 1),
-    )
-
-
-def _happening(form: KdlNode, lasts: float) -> Happening:
-    plain = Happening("", 0)
-    return Happening(
-        what=form.take_text("", None, EVENTS),
-        at=form.take_number("at", None, 0, lasts),
-        for_s=form.take_number("for-s", plain.for_s, 0, lasts),
-        size=form.take_number("size", plain.size, 0.01, 1000),
-        part=form.take_number("part", plain.part, 0, 1),
+def _read_event(node: KdlNode, duration: float) -> FleetEvent:
+    defaults = FleetEvent("", 0)
+    return FleetEvent(
+        event_type=node.take_text("", None, EVENT_TYPES),
+        at=node.take_number("at", None, 0, duration),
+        length_s=node.take_number("for-s", defaults.length_s, 0, duration),
+        factor=node.take_number("size", defaults.factor, 0.01, 1000),
+        part=node.take_number("part", defaults.part, 0, 1),
     )
--- a/wickstep/fleet/report.py
+++ b/wickstep/fleet/report.py
@@ -1,6 +1,7 @@
-"""What a play of the model has shown, for a person: worth, what became of calls, and how even the load was.
+"""The report of a model run for a person: worth, results of calls, and how even the load was, by phase.
 
-This file owns that form; the measures of spread are defined beside their record.
+This file owns the layout; the measures of spread are defined in `wickstep.spread.measures`. It must never
+compute one.
 """
 
 from __future__ import annotations
@@ -8,52 +9,55 @@
 from collections.abc import Sequence
 from typing import Any
 
-from wickstep.fleet.model import Outcome
-from wickstep.fleet.plan import Plan
+from wickstep.fleet.model import RunResult
+from wickstep.fleet.plan import FleetPlan
 from wickstep.spread import measures
 from wickstep.spread import report as spread
 from wickstep.spread.report import Phase
 
-WARM_UP_S = 3.0  # at the beginning, which no phase holds
-AFTER_S = 3.0  # how long a phase lasts beyond what happens in it
+WARM_UP_S = 3.0  # start of the run, which belongs to no phase
+PHASE_TAIL_S = 3.0  # for which a phase continues after its event has ended
 
 
-def phases(plan: Plan) -> list[Phase]:
-    """The quiet before, each thing that happens with what follows it, and the whole."""
+def list_phases(plan: FleetPlan) -> list[Phase]:
+    """The quiet time before the first event, one phase per event and its aftermath, and the whole run."""
     found = []
-    first = plan.happenings[0].at if plan.happenings else plan.lasts_s
+    first = plan.events[0].at if plan.events else plan.duration_s
     if first > WARM_UP_S:
         found.append(Phase("before", WARM_UP_S, first))
-    for one in plan.happenings:
-        found.append(Phase(f"{one.what} {one.at:g}", one.at, min(one.at + one.for_s + AFTER_S, plan.lasts_s)))
-    return [*found, Phase("all", min(WARM_UP_S, plan.lasts_s / 2), plan.lasts_s)]
+    for event in plan.events:
+        found.append(Phase(
+            f"{event.event_type} {event.at:g}", event.at,
+            min(event.at + event.length_s + PHASE_TAIL_S, plan.duration_s),
+        ))  # fmt: skip
+    return [*found, Phase("all", min(WARM_UP_S, plan.duration_s / 2), plan.duration_s)]
 
 
-def lines(outcome: Outcome) -> list[str]:
+def format_lines(result: RunResult) -> list[str]:
     table = [["phase", "worth%", "stands%", "refused%", "failed%", "median s", "99th s"]]
-    for phase in phases(outcome.plan):
+    for phase in list_phases(result.plan):
         span = (phase.begin, phase.end)
-        waits = outcome.waits(*span) or [0.0]
-        shares = [f"{100 * outcome.share(kind, *span):.1f}" for kind in ("stands", "refused", "failed")]
+        delays = result.delays(*span) or [0.0]
+        shares = [f"{100 * result.share(kind, *span):.1f}" for kind in ("stands", "refused", "failed")]
         table.append([
-            phase.name, f"{100 * outcome.worth(*span):.1f}", *shares,
-            f"{waits[len(waits) // 2]:.3f}", f"{waits[99 * len(waits) // 100]:.2f}",
+            phase.name, f"{100 * result.worth(*span):.1f}", *shares,
+            f"{delays[len(delays) // 2]:.3f}", f"{delays[99 * len(delays) // 100]:.2f}",
         ])  # fmt: skip
     return [
-        *spread.align_columns(table), "", *spread.format_lines(outcome.record, phases(outcome.plan)),
-        f"probes {outcome.probes}",
+        *spread.align_columns(table), "", *spread.format_lines(result.record, list_phases(result.plan)),
+        f"probes {result.probes}",
     ]  # fmt: skip
 
 
-def as_json(outcome: Outcome) -> dict[str, Any]:
+def as_json(result: RunResult) -> dict[str, Any]:
     """The measures by phase."""
     return {
         phase.name: {
-            "worth": outcome.worth(phase.begin, phase.end),
-            "refused": outcome.share("refused", phase.begin, phase.end),
-            **_fields(measures.measure(outcome.record, phase.begin, phase.end)),
+            "worth": result.worth(phase.begin, phase.end),
+            "refused": result.share("refused", phase.begin, phase.end),
+            **_fields(measures.measure(result.record, phase.begin, phase.end)),
         }
-        for phase in phases(outcome.plan)
+        for phase in list_phases(result.plan)
     }
 
 
@@ -63,5 +67,5 @@
     return asdict(found)
 
 
-def page(outcome: Outcome, title: str, found: Sequence[Phase] | None = None) -> str:
-    return spread.render_page(title, outcome.record, found or phases(outcome.plan))
+def render_page(result: RunResult, title: str, phases: Sequence[Phase] | None = None) -> str:
+    return spread.render_page(title, result.record, phases or list_phases(result.plan))
