--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -1,4 +1,4 @@
-"""How even a load is: the measures by hand, and logs read back."""
+"""How even a load is: measures checked by hand, logs read back, the report."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from wickstep.spread.record import BIN_S, Record, SentSetUp, ServerTimeline
 
 
-def drawn(herd: int = 1, seconds: int = 20, rate: float = 400.0, seed: int = 1) -> Record:
-    """Arrivals at four servers by independent draws, each of `herd` set-ups at once."""
-    dice = random.Random(seed)
+def random_record(batch_size: int = 1, seconds: int = 20, rate: float = 400.0, seed: int = 1) -> Record:
+    """Arrivals at four servers by independent draws; each draw sends `batch_size` set-ups at once."""
+    rng = random.Random(seed)
     record = Record(float(seconds))
     at = 0.0
-    while (at := at + dice.expovariate(rate / herd)) < seconds:
-        server = f"s{dice.randrange(4)}"
-        record.sent += [SentSetUp(at, 0, server, SendReason.FIRST)] * herd
+    while (at := at + rng.expovariate(rate / batch_size)) < seconds:
+        server = f"s{rng.randrange(4)}"
+        record.sent += [SentSetUp(at, 0, server, SendReason.FIRST)] * batch_size
     for number in range(4):
         record.servers[f"s{number}"] = ServerTimeline(
             [100.0] * record.bin_count(), [0.25] * record.bin_count()
@@ -27,26 +27,26 @@
     return record
 
 
-def test_independent_draws_have_the_dispersion_and_the_peak_of_chance() -> None:
-    found = measures.measure(drawn())
+def test_independent_draws_have_the_dispersion_and_peak_of_chance() -> None:
+    found = measures.measure(random_record())
     assert found.dispersion == pytest.approx(1.0, abs=0.08)
     assert found.peak_over_mean == pytest.approx(found.peak_by_chance, abs=0.05)
 
 
-def test_a_herd_shows_in_the_dispersion_unless_callers_come_in_herds_themselves() -> None:
-    record = drawn(herd=8)
+def test_dispersion_shows_herding_of_softswitches_but_not_of_callers() -> None:
+    record = random_record(batch_size=8)
     assert measures.dispersion(measures.count_arrivals(record, 0, record.bin_count())) > 1.3
-    even = Record(20.0)
-    dice = random.Random(2)
-    for item in record.sent:  # the same herds of callers, each spread by independent draws
-        even.sent.append(SentSetUp(item.at, 0, f"s{dice.randrange(4)}", SendReason.FIRST))
-    even.servers = record.servers
-    assert measures.dispersion(measures.count_arrivals(even, 0, even.bin_count())) == pytest.approx(
-        1.0, abs=0.1
-    )
+    independent = Record(20.0)
+    rng = random.Random(2)
+    for item in record.sent:  # the same batches of callers, but each set-up draws its server independently
+        independent.sent.append(SentSetUp(item.at, 0, f"s{rng.randrange(4)}", SendReason.FIRST))
+    independent.servers = record.servers
+    assert measures.dispersion(
+        measures.count_arrivals(independent, 0, independent.bin_count())
+    ) == pytest.approx(1.0, abs=0.1)
 
 
-def test_a_server_with_twice_its_part_is_the_peak() -> None:
+def test_peak_is_the_server_with_most_set_ups_over_capacity() -> None:
     record = Record(
         1.0,
         [SentSetUp(0.5, 0, "a", SendReason.FIRST)] * 20 + [SentSetUp(0.5, 0, "b", SendReason.TURNED)] * 10,
@@ -57,21 +57,21 @@
     assert found.by_reason == {"first": 20, "turned": 10, "retry": 0, "trial": 0}
 
 
-def test_idle_servers_count_while_a_caller_is_refused_or_waits_over_its_aim() -> None:
+def test_idle_time_counts_while_a_caller_is_refused_or_waits_longer_than_its_aim() -> None:
     record = Record(1.0, refused=[0.05], overdue=[(0.42, 0.58)])
     record.servers = {
         "large": ServerTimeline([90.0] * 10, [0.5] * 10),
         "small": ServerTimeline([10.0] * 10, [1.0] * 10),
     }
     found = measures.measure(record)
-    assert found.trouble == pytest.approx(0.3)  # one span of a refusal, two of a wait
+    assert found.trouble == pytest.approx(0.3)  # one bin with a refusal, two with a wait
     assert found.idle_in_trouble == pytest.approx(0.3 * (0.9 * 0.5 + 0.1))
     record.servers["large"].idle[3] = -1
     assert measures.measure(record).idle_in_trouble == -1
 
 
 @pytest.mark.parametrize(
-    ("attempt", "wanted", "number", "fails", "why"),
+    ("attempt", "first_choice", "number", "failures", "reason"),
     [
         (0, 3, 3, 0, SendReason.FIRST),
         (0, 3, 4, 1, SendReason.TURNED),
@@ -80,9 +80,9 @@
     ],
 )
 def test_each_set_up_has_one_reason(
-    attempt: int, wanted: int, number: int, fails: int, why: SendReason
+    attempt: int, first_choice: int, number: int, failures: int, reason: SendReason
 ) -> None:
-    assert classify_send(attempt, wanted, number, fails) is why
+    assert classify_send(attempt, first_choice, number, failures) is reason
 
 
 LOG = """\
@@ -97,7 +97,7 @@
 2026-12-03 00:00:01,0"""
 
 
-def test_logs_are_read_back_over_midnight_and_what_is_no_line_is_passed_over() -> None:
+def test_logs_are_read_back_over_midnight_and_unknown_lines_are_skipped() -> None:
     reader = LogReader()
     reader.add_log(7, LOG.split("\n"))
     record = reader.build_record(aim_s=0.05)
@@ -114,8 +114,8 @@
     assert LogReader().build_record(1.0).sent == []
 
 
-def test_the_page_holds_all_phases_and_a_plot() -> None:
-    record = drawn(seconds=4)
+def test_page_holds_all_phases_and_a_plot() -> None:
+    record = random_record(seconds=4)
     phases = [report.Phase("before <burst>", 0, 2), report.Phase("all", 0, 4)]
     page = report.render_page("a & b", record, phases)
     assert "a &amp; b" in page
@@ -123,5 +123,5 @@
     assert "<svg" in page
 
 
-def test_a_bin_is_a_tenth_of_a_second() -> None:
+def test_bin_is_a_tenth_of_a_second() -> None:
     assert Record(3.0).bin_count() == round(3 / BIN_S) == 30
--- a/wickstep/__main__.py
+++ b/wickstep/__main__.py
@@ -67,7 +67,7 @@
 
 
 TO_OPTION = click.option(
-    "--to", default="127.0.0.1:5080", show_default=True, help="Address on which the softswitch listens."
+    "--to", default="127.0.0.1:5080", show_default=True, help="Address of the softswitch."
 )
 
 
