--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -15,7 +15,7 @@
 from click.testing import CliRunner
 
 from wickstep.__main__ import main
-from wickstep.forms import BadForm
+from wickstep.forms import KdlError
 from wickstep.rehearsal import judge, report, scenario
 from wickstep.rehearsal.processes import find_free_ports, own_loopback_host
 from wickstep.rehearsal.report import Second
@@ -190,7 +190,7 @@
     ],
 )
 def test_the_error_names_what_is_wrong_in_a_script(text: str, message: str) -> None:
-    with pytest.raises(BadForm, match=message):
+    with pytest.raises(KdlError, match=message):
         scenario.read(text)
 
 
--- a/wickstep/rehearsal/callers.py
+++ b/wickstep/rehearsal/callers.py
@@ -13,11 +13,11 @@
 
 from wickstep.net import (
     Answer,
-    Malformed,
+    MalformedMessage,
     Message,
     Reason,
     Release,
-    ReleaseHeard,
+    ReleaseComplete,
     SetUp,
     Test,
     TestResult,
@@ -71,7 +71,7 @@
         try:
             for message in self.splitter.feed(data):
                 self.on_message(message, at)
-        except Malformed:
+        except MalformedMessage:
             if self.connection is not None:
                 self.connection.reset()
 
@@ -96,7 +96,7 @@
         elif isinstance(message, Answer):  # a second answer, or one after the caller's wait
             trace.record(at, EventKind.FINAL_ANSWER, self.softswitch, message.call, detail="stands")
         elif isinstance(message, Release):
-            self.send(ReleaseHeard(message.call))
+            self.send(ReleaseComplete(message.call))
             trace.record(at, EventKind.RELEASE_RECEIVED, self.softswitch, message.call)
 
     def leave(self, call: int, way: str) -> None:
--- a/wickstep/rehearsal/scenario.py
+++ b/wickstep/rehearsal/scenario.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass, field
 
-from wickstep.forms import BadForm, Form, root
+from wickstep.forms import KdlError, KdlNode, parse_root
 
 MAX_SOFTSWITCHES, MAX_SERVERS = 250, 24
 MAX_RATE = 2000.0  # calls a second
@@ -77,23 +77,23 @@
 
 
 def read(text: str) -> Scenario:
-    """A scenario from its text; raises BadForm with what is wrong."""
-    form = root(text, "rehearsal")
-    name = form.text("")
-    seed = form.whole("seed", 1, 0, 2**31)
-    softswitches = form.whole("softswitches", 6, 1, MAX_SOFTSWITCHES)
-    duration_s = form.number("lasts-s", 10, 1, MAX_DURATION_S)
-    state = form.text("state", "none", ("none", "kept", "calls"))
+    """A scenario from its text; raises KdlError with what is wrong."""
+    node = parse_root(text, "rehearsal")
+    name = node.take_text("")
+    seed = node.take_integer("seed", 1, 0, 2**31)
+    softswitches = node.take_integer("softswitches", 6, 1, MAX_SOFTSWITCHES)
+    duration_s = node.take_number("lasts-s", 10, 1, MAX_DURATION_S)
+    state = node.take_text("state", "none", ("none", "kept", "calls"))
     servers, callers, faults = ServerPlan(), CallerPlan(), []
-    for child in form.children("servers", "callers", "fault"):
+    for child in node.take_children("servers", "callers", "fault"):
         if child.name == "servers":
             servers = _read_servers(child)
         elif child.name == "callers":
             callers = _read_callers(child)
         else:
             faults.append(_read_fault(child, duration_s, servers.count))
-        child.done()
-    form.done()
+        child.reject_unread()
+    node.reject_unread()
     faults.sort(key=lambda fault: fault.at)
     return Scenario(
         name, seed, softswitches, duration_s, servers, callers, tuple(faults),
@@ -101,48 +101,50 @@
     )  # fmt: skip
 
 
-def _read_servers(form: Form) -> ServerPlan:
+def _read_servers(node: KdlNode) -> ServerPlan:
     defaults = ServerPlan()
     return ServerPlan(
-        count=form.whole("", defaults.count, 1, MAX_SERVERS),
-        rate=form.number("rate", defaults.rate, 1, MAX_RATE),
-        lines=form.whole("lines", defaults.lines, 1, 100_000),
-        queue_s=form.number("queue-s", defaults.queue_s, 0.01, 60),
-        cold_from=form.number("cold-from", defaults.cold_from, 0.01, 1),
-        cold_s=form.number("cold-s", defaults.cold_s, 0, 60),
-        fall_multiple=form.number("fall-multiple", defaults.fall_multiple, 1, 100),
-        fall_s=form.number("fall-s", defaults.fall_s, 0.1, 60),
-        links_most=form.whole("links-most", defaults.links_most, 1, 10_000),
+        count=node.take_integer("", defaults.count, 1, MAX_SERVERS),
+        rate=node.take_number("rate", defaults.rate, 1, MAX_RATE),
+        lines=node.take_integer("lines", defaults.lines, 1, 100_000),
+        queue_s=node.take_number("queue-s", defaults.queue_s, 0.01, 60),
+        cold_from=node.take_number("cold-from", defaults.cold_from, 0.01, 1),
+        cold_s=node.take_number("cold-s", defaults.cold_s, 0, 60),
+        fall_multiple=node.take_number("fall-multiple", defaults.fall_multiple, 1, 100),
+        fall_s=node.take_number("fall-s", defaults.fall_s, 0.1, 60),
+        links_most=node.take_integer("links-most", defaults.links_most, 1, 10_000),
     )
 
 
-def _read_callers(form: Form) -> CallerPlan:
+def _read_callers(node: KdlNode) -> CallerPlan:
     defaults = CallerPlan()
     return CallerPlan(
-        rate=form.number("rate", defaults.rate, 0.1, MAX_RATE),
-        wait_s=form.number("wait-s", defaults.wait_s, 0.1, 10),
-        aim_s=form.number("aim-s", defaults.aim_s, 0.05, 10),
-        hold_s=form.number("hold-s", defaults.hold_s, 0.01, 60),
-        spread=form.number("spread", defaults.spread, 1, 20),
-        notice_s=form.number("notice-s", defaults.notice_s, 0, 10),
-        leave=form.number("leave", defaults.leave, 0, 1),
-        again=form.text("again", "no", ("no", "yes")) == "yes",
+        rate=node.take_number("rate", defaults.rate, 0.1, MAX_RATE),
+        wait_s=node.take_number("wait-s", defaults.wait_s, 0.1, 10),
+        aim_s=node.take_number("aim-s", defaults.aim_s, 0.05, 10),
+        hold_s=node.take_number("hold-s", defaults.hold_s, 0.01, 60),
+        spread=node.take_number("spread", defaults.spread, 1, 20),
+        notice_s=node.take_number("notice-s", defaults.notice_s, 0, 10),
+        leave=node.take_number("leave", defaults.leave, 0, 1),
+        again=node.take_text("again", "no", ("no", "yes")) == "yes",
     )
 
 
-def _read_fault(form: Form, duration_s: float, servers: int) -> Fault:
+def _read_fault(node: KdlNode, duration_s: float, servers: int) -> Fault:
     defaults = Fault(0, "")
     fault = Fault(
-        kind=form.text("", None, FAULT_KINDS),
-        at=form.number("at", None, 0, duration_s),
-        part=form.number("part", defaults.part, 0, 1),
-        group=form.whole("group", defaults.group, 0, MAX_SOFTSWITCHES) if "group" in form.given() else -1,
-        of=form.whole("of", defaults.of, 1, MAX_SOFTSWITCHES),
-        for_s=form.number("for-s", defaults.for_s, 0, duration_s),
-        server=form.whole("server", 0, 0, servers - 1) if "server" in form.given() else -1,
-        back_s=form.number("back-s", defaults.back_s, 0, duration_s),
-        delay_s=form.number("delay-s", defaults.delay_s, 0, MAX_DELAY_S),
+        kind=node.take_text("", None, FAULT_KINDS),
+        at=node.take_number("at", None, 0, duration_s),
+        part=node.take_number("part", defaults.part, 0, 1),
+        group=node.take_integer("group", defaults.group, 0, MAX_SOFTSWITCHES)
+        if "group" in node.unread_properties()
+        else -1,
+        of=node.take_integer("of", defaults.of, 1, MAX_SOFTSWITCHES),
+        for_s=node.take_number("for-s", defaults.for_s, 0, duration_s),
+        server=node.take_integer("server", 0, 0, servers - 1) if "server" in node.unread_properties() else -1,
+        back_s=node.take_number("back-s", defaults.back_s, 0, duration_s),
+        delay_s=node.take_number("delay-s", defaults.delay_s, 0, MAX_DELAY_S),
     )
     if fault.kind in ("replace", "drain") and fault.server < 0:
-        raise BadForm(f"fault {fault.kind}: property `server` is missing")
+        raise KdlError(f"fault {fault.kind}: property `server` is missing")
     return fault
--- a/wickstep/rehearsal/servers.py
+++ b/wickstep/rehearsal/servers.py
@@ -19,12 +19,12 @@
 from wickstep.net import (
     Answer,
     GroupState,
-    Malformed,
+    MalformedMessage,
     Message,
     Note,
     Reason,
     Release,
-    ReleaseHeard,
+    ReleaseComplete,
     SetUp,
     Test,
     bulletin,
@@ -57,7 +57,7 @@
         try:
             for message in self.splitter.feed(data):
                 self.server.on_message(self, message, at)
-        except Malformed:
+        except MalformedMessage:
             self.connection.reset()
 
     def on_end(self) -> None:
@@ -114,7 +114,7 @@
             case SetUp():
                 self._on_set_up(link, message.call, at)
             case Release():
-                link.send(ReleaseHeard(message.call))
+                link.send(ReleaseComplete(message.call))
                 if message.call in link.open_attempts:
                     link.open_attempts.discard(message.call)
                     self.trace.record(
@@ -122,7 +122,7 @@
                     )
                 else:
                     self.standing.pop(message.call, None)
-            case ReleaseHeard():
+            case ReleaseComplete():
                 self.unconfirmed_releases.get(link.softswitch, {}).pop(message.call, None)
             case Test():
                 self.trace.record(at, EventKind.PROBED, link.softswitch, 0, self.name)
