--- a/wickstep/operation/commands.py
+++ b/wickstep/operation/commands.py
@@ -1,6 +1,7 @@
-"""What is said on the operators' address: one line in, one reply out.
+"""The protocol of the operators' address: one command line in, one reply out.
 
-This file owns the words of that protocol. It must never touch a socket, and never raise on what a peer sent.
+This file owns the commands and replies of that protocol. It must never touch a socket, or raise because of
+what a peer sent (except for the ValueError of `parse_line`).
 """
 
 from __future__ import annotations
@@ -10,46 +11,46 @@
 
 from wickstep.operation.mode import Event, Transition
 
-MAX_LINE = 256  # bytes of a call, its end of line included
+MAX_LINE = 256  # bytes of a command, its end of line included
 SUCCESS, FAILURE, END_OF_REPLY = "SUCCESS", "FAILURE", "EOT"
 STATUS, METRICS = "STATUS", "METRICS"
-CHANGES = {"PAUSE": Event.PAUSE, "RESUME": Event.RESUME}
+EVENT_COMMANDS = {"PAUSE": Event.PAUSE, "RESUME": Event.RESUME}
 
 
 @dataclass(slots=True, frozen=True)
 class CommandHandlers:
-    """What stands behind the calls; each answers at once, from any thread."""
+    """The functions behind the commands; each returns without waiting, on any thread."""
 
-    status: Callable[[], tuple[bool, str]]  # whether this process is ready to serve, and its state in words
-    figures: Callable[[], str]  # as lines
-    tell: Callable[[Event], Transition]
+    status: Callable[[], tuple[bool, str]]  # whether this process is ready to serve, and its state as text
+    metrics: Callable[[], str]  # as lines of text
+    handle_event: Callable[[Event], Transition]
 
 
-def parse_line(heard: bytes) -> bytes | None:
-    """The first line, without its end; None while it has none. ValueError once it is too long to be one."""
-    line, end, _ = heard.partition(b"\n")
+def parse_line(received: bytes) -> bytes | None:
+    """The first line without its end, None while it is incomplete. ValueError once it exceeds MAX_LINE."""
+    line, end, _ = received.partition(b"\n")
     if len(line) + len(end) > MAX_LINE:
         raise ValueError(f"a line of more than {MAX_LINE} bytes")
     return line.rstrip(b"\r") if end else None
 
 
-def make_reply(line: bytes, desk: CommandHandlers) -> str:
-    """The reply to one call, its last end of line included."""
+def make_reply(line: bytes, handlers: CommandHandlers) -> str:
+    """The reply to one command, its last end of line included."""
     try:
-        call = line.decode("ascii").strip()
+        command = line.decode("ascii").strip()
     except UnicodeDecodeError:
-        return failure("no text")
-    if call == STATUS:
-        ready, state = desk.status()
+        return format_failure("no text")
+    if command == STATUS:
+        ready, state = handlers.status()
         return f"{SUCCESS if ready else FAILURE} {state}\n"
-    if call == METRICS:
-        return f"{desk.figures()}{END_OF_REPLY}\n"
-    event = CHANGES.get(call)
+    if command == METRICS:
+        return f"{handlers.metrics()}{END_OF_REPLY}\n"
+    event = EVENT_COMMANDS.get(command)
     if event is None:
-        return failure("unknown call; there are " + ", ".join((STATUS, METRICS, *CHANGES)))
-    step = desk.tell(event)
-    return f"{SUCCESS if step.is_accepted else FAILURE} {step.text}\n"
+        return format_failure("unknown call; there are " + ", ".join((STATUS, METRICS, *EVENT_COMMANDS)))
+    transition = handlers.handle_event(event)
+    return f"{SUCCESS if transition.is_accepted else FAILURE} {transition.text}\n"
 
 
-def failure(why: str) -> str:
-    return f"{FAILURE} {why}\n"
+def format_failure(reason: str) -> str:
+    return f"{FAILURE} {reason}\n"
--- a/wickstep/operation/handover.py
+++ b/wickstep/operation/handover.py
@@ -1,7 +1,8 @@
-"""What an old process leaves to its successor: calls that stand, and releases that found no caller.
+"""What an ending process hands over to its successor: established calls, and releases not yet delivered.
 
-This file owns that record, and the successor's table of such calls. It must never do I/O or read a clock; the
-table is bounded, and an entry leaves it with the call's release, with its server's process, or in time.
+This file owns that record, and the successor's table of inherited calls. It must never do I/O or read a
+clock. The table is bounded; an entry is removed with the call's release, when its server's process ends, or
+by age.
 """
 
 from __future__ import annotations
@@ -14,16 +15,16 @@
 
 MAX_CALLS = 5000
 MAX_RELEASES = 1000
-MAX_AGE = 3600 * 1_000_000  # microseconds; whoever speaks for longer hangs up without help
-ID_MOST = 2**64
+MAX_AGE = 3600 * 1_000_000  # microseconds; the parties of a longer call hang up without help
+CALL_ID_LIMIT = 2**64
 
 
 class InvalidHandover(ValueError):
-    """A record that does not make sense."""
+    """A handover record that cannot be used."""
 
 
 def encode(standing: Mapping[int, str], releases: Iterable[tuple[int, Reason]]) -> dict[str, Any]:
-    """As JSON has it: the latest calls that stand, with their servers' hosts, and the latest releases."""
+    """A record for JSON: the latest established calls with their servers' hosts, and the latest releases."""
     return {
         "standing": [[f"{call:x}", host] for call, host in [*standing.items()][-MAX_CALLS:]],
         "releases": [[f"{call:x}", reason.value] for call, reason in [*releases][-MAX_RELEASES:]],
@@ -31,34 +32,36 @@
 
 
 def decode(content: Any) -> tuple[dict[int, str], list[tuple[int, Reason]]]:
-    """What was written, within the same bounds; raises InvalidHandover."""
+    """The calls and releases of a record, within the same bounds; raises InvalidHandover."""
     try:
-        standing = {_call(call): _host(host) for call, host in content["standing"][:MAX_CALLS]}
-        releases = [(_call(call), Reason(why)) for call, why in content["releases"][:MAX_RELEASES]]
-    except (LookupError, TypeError, ValueError) as trouble:
-        raise InvalidHandover(f"no record: {trouble}") from trouble
+        standing = {_parse_call_id(call): _check_host(host) for call, host in content["standing"][:MAX_CALLS]}
+        releases = [
+            (_parse_call_id(call), Reason(reason)) for call, reason in content["releases"][:MAX_RELEASES]
+        ]
+    except (LookupError, TypeError, ValueError) as error:
+        raise InvalidHandover(f"invalid handover record: {error}") from error
     return standing, releases
 
 
-def _call(text: Any) -> int:
+def _parse_call_id(text: Any) -> int:
     call = int(text, 16)
-    if not 0 < call < ID_MOST:
-        raise ValueError(f"{text!r} is no call")
+    if not 0 < call < CALL_ID_LIMIT:
+        raise ValueError(f"call id {text!r} is not between 1 and 2**64 - 1")
     return call
 
 
-def _host(host: Any) -> str:
+def _check_host(host: Any) -> str:
     if not isinstance(host, str):
-        raise ValueError(f"{host!r} is no host")
+        raise ValueError(f"host {host!r} is not a string")
     return host
 
 
 class InheritedCalls:
-    """Calls that stood in an earlier process when it ended, by their ids."""
+    """Calls that were established in an earlier process when it ended, by their ids."""
 
     def __init__(self) -> None:
-        self._calls: OrderedDict[int, tuple[str, int]] = OrderedDict()  # its server, and since when
-        self.on_taken: Callable[[int], None] = lambda call: None  # it is none of them any more
+        self._calls: OrderedDict[int, tuple[str, int]] = OrderedDict()  # server's host, time of adding
+        self.on_taken: Callable[[int], None] = lambda call: None  # the call was removed by `take`
 
     def __len__(self) -> int:
         return len(self._calls)
@@ -70,21 +73,21 @@
         for call, host in standing.items():
             self._calls[call] = (host, now)
         while self._calls:
-            first = next(iter(self._calls))
-            if len(self._calls) <= MAX_CALLS and now - self._calls[first][1] <= MAX_AGE:
+            oldest = next(iter(self._calls))
+            if len(self._calls) <= MAX_CALLS and now - self._calls[oldest][1] <= MAX_AGE:
                 break
-            del self._calls[first]
+            del self._calls[oldest]
 
     def take(self, call: int) -> str | None:
-        """Its server's host, if this is one of them; it is none any more then."""
+        """Remove a call; its server's host, or None if it is not in the table."""
         host = self._calls.pop(call, ("", 0))[0] or None
         if host is not None:
             self.on_taken(call)
         return host
 
     def take_by_host(self, host: str) -> list[int]:
-        """All that stood at a server; they are none any more."""
-        calls = [call for call, (at, _) in self._calls.items() if at == host]
+        """Remove all calls that are established at a server."""
+        calls = [call for call, (call_host, _) in self._calls.items() if call_host == host]
         for call in calls:
             self.take(call)
         return calls
--- a/wickstep/operation/metrics.py
+++ b/wickstep/operation/metrics.py
@@ -1,8 +1,8 @@
-"""The figures: what is counted for operators, under which names, and how it is written.
+"""The metrics for operators: what is counted, under which names, and in which text format.
 
-This file owns every name an operator may read; there is none anywhere else. It must never do I/O. The loop's
-thread writes, any thread may read: each value is one object that is replaced or a table whose length is
-asked, so a reader never waits for the loop and sees each value as it was a moment ago.
+This file owns the name of every metric; no other file defines one. It must never do I/O. The loop's thread
+writes and any thread may read: each value is an object that is replaced whole or a table of which only the
+length is read, so a reader never waits for the loop and sees each value as it was a moment ago.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Disposition(Enum):
-    """How a request was disposed of, as its caller saw it."""
+    """How a request ended, as its caller saw it."""
 
     SUCCEEDED = "succeeded"
     DECLINED = "declined"
@@ -26,60 +26,60 @@
 DISPOSITIONS: Mapping[str, Disposition] = {
     "stands": Disposition.SUCCEEDED,
     "refused": Disposition.DECLINED,  # by the controller
-    "turned_away": Disposition.DECLINED,  # by the softswitch itself, full or on its way out
+    "turned_away": Disposition.DECLINED,  # by the softswitch itself, full or draining
     "failed": Disposition.ABORTED,
-    "no_route": Disposition.ABORTED,  # trying again would change nothing: to its caller it has failed
+    "no_route": Disposition.ABORTED,  # a retry would change nothing: to its caller it has failed
     "malformed": Disposition.ABORTED,
 }
 
 
 @dataclass(slots=True, frozen=True)
-class Figure:
-    """One figure: its name without the prefix, and what it means in a line."""
+class Metric:
+    name: str  # without the prefix
+    description: str
 
-    name: str
-    meaning: str
 
-
-RESULTS = Figure("results", "requests by class (service) and disposition: succeeded, declined, aborted")
-FORWARDS = Figure("forwards", "attempts written whole to setup servers")
-OUTSTANDING = Figure("outstanding", "requests taken that are not ended: their answer is owed, or they stand")
-DISCOVERED = Figure("discovered", "setup servers on the list")
-EJECTED = Figure("ejected", "setup servers on the list that are avoided now")
-JOURNAL = Figure("journal", "1 while a journal of calls is kept, 0 while it cannot be; absent where none is")
-FIGURES = (RESULTS, FORWARDS, OUTSTANDING, DISCOVERED, EJECTED, JOURNAL)
+RESULTS = Metric("results", "requests by class (service) and disposition: succeeded, declined, aborted")
+FORWARDS = Metric("forwards", "attempts written whole to setup servers")
+OUTSTANDING = Metric("outstanding", "requests taken in and not ended: waiting for an answer, or established")
+DISCOVERED = Metric("discovered", "setup servers on the list")
+EJECTED = Metric("ejected", "setup servers on the list that are avoided now")
+JOURNAL = Metric("journal", "1 while a journal of calls is kept, 0 while it cannot be; absent where none is")
+METRICS = (RESULTS, FORWARDS, OUTSTANDING, DISCOVERED, EJECTED, JOURNAL)
 
 
 class ResultCounts:
-    """Counts of one process, from 0 at its start. One call counts once, where its final answer is written."""
+    """Results of one process, from 0 at its start. A call counts once, when its final answer is written."""
 
     def __init__(self, classes: Sequence[str]) -> None:
         self._classes = tuple(classes)
-        self._results = {(place, what): 0 for place in range(len(classes)) for what in Disposition}
+        self._results = {
+            (index, disposition): 0 for index in range(len(classes)) for disposition in Disposition
+        }
 
     def count_result(self, klass: int, kind: str) -> None:
-        """A request of the class (its place in the settings) has had its final answer of this kind.
+        """Count a final answer of this kind to a request of the class (its index in the settings).
 
         KeyError for a kind that no final answer has.
         """
         self._results[klass, DISPOSITIONS[kind]] += 1
 
     def results(self) -> Iterator[tuple[str, Disposition, int]]:
-        """Class, disposition and count, in the settings' order; all that there can be, at 0 too."""
-        for (place, what), count in self._results.items():  # its keys never change
-            yield self._classes[place], what, count
+        """Class, disposition and count of every combination, in the settings' order, zeros included."""
+        for (index, disposition), count in self._results.items():  # its keys never change
+            yield self._classes[index], disposition, count
 
 
-def format_metrics(tally: ResultCounts, values: Mapping[Figure, int]) -> str:
-    """The figures as lines `name value`, each ended; those with a value, after the results."""
+def format_metrics(counts: ResultCounts, values: Mapping[Metric, int]) -> str:
+    """Lines of `name value`: the results first, then each metric that has a value."""
     lines = [
-        f'{PREFIX}{RESULTS.name}{{service="{_quoted(klass)}",disposition="{what.value}"}} {count}'
-        for klass, what, count in tally.results()
+        f'{PREFIX}{RESULTS.name}{{service="{_escape(klass)}",disposition="{disposition.value}"}} {count}'
+        for klass, disposition, count in counts.results()
     ]
-    lines += [f"{PREFIX}{figure.name} {values[figure]}" for figure in FIGURES if figure in values]
+    lines += [f"{PREFIX}{metric.name} {values[metric]}" for metric in METRICS if metric in values]
     return "".join(f"{line}\n" for line in lines)
 
 
-def _quoted(text: str) -> str:
-    """A label's value, as the text format of metrics has it."""
+def _escape(text: str) -> str:
+    """Escapes a label's value for the Prometheus text format."""
     return text.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
--- a/wickstep/operation/mode.py
+++ b/wickstep/operation/mode.py
@@ -1,15 +1,16 @@
-"""The states of one process, from its start to its end, and what leads from one to another.
+"""The state machine of one process, from its start to its end.
 
-This file owns that table. It must never do I/O or read a clock: who tells of an event has the answer at once,
-from any thread, and the loop carries out what the state asks for when it sees it.
+This file owns the table of transitions. It must never do I/O or read a clock: an event is answered at once,
+on any thread, and the loop does what the new state requires when it next reads the state.
 
-    state          PAUSE            RESUME           TERM        RELIEVED        HANGUP
+    state          PAUSE            RESUME           TERM        HAND_OVER       HANGUP
     serving        paused           serving          stopping    handing over    serving, reads again
     paused         paused           serving          stopping    handing over    paused, reads again
     stopping       refused          refused          refused     refused         refused
     handing over   refused          refused          refused     refused         refused
 
-TERM is SIGTERM with nobody else on the callers' address, RELIEVED the same where a successor takes them.
+TERM is SIGTERM where no other process accepts on the callers' address, HAND_OVER is SIGTERM where a successor
+does. "Reads again" means that the configuration is reloaded.
 """
 
 from __future__ import annotations
@@ -22,9 +23,9 @@
 
 class State(Enum):
     SERVING = "serving"
-    PAUSED = "paused"  # drained: callers are sent elsewhere, the process stays
-    STOPPING = "stopping"  # answers what it has taken, then ends
-    HANDING_OVER = "handing over"  # the same, while a successor takes what comes
+    PAUSED = "paused"  # drained: callers are sent elsewhere, the process keeps running
+    STOPPING = "stopping"  # answers the calls that it has taken in, then ends
+    HANDING_OVER = "handing over"  # the same, while a successor takes new calls
 
 
 class Event(Enum):
@@ -37,19 +38,21 @@
 
 @dataclass(slots=True, frozen=True)
 class Transition:
-    """Where an event leads: the state after it, whether it is granted, and what is said about it."""
+    """The result of an event: the state after it, whether it is accepted, and the text of the reply."""
 
     state: State
     is_accepted: bool
     text: str
 
 
-def _same_in_both(event: Event, state: State | None, text: str) -> dict[tuple[State, Event], Transition]:
-    """What an event does in both states in which the process stays; None: nothing changes."""
+def _accept_while_running(
+    event: Event, state: State | None, text: str
+) -> dict[tuple[State, Event], Transition]:
+    """The transitions of an event from SERVING and from PAUSED; `state` None: the state does not change."""
     return {(old, event): Transition(state or old, True, text) for old in (State.SERVING, State.PAUSED)}
 
 
-def _no_way_back(state: State) -> dict[tuple[State, Event], Transition]:
+def _refuse_all_events(state: State) -> dict[tuple[State, Event], Transition]:
     return {(state, event): Transition(state, False, state.value) for event in Event}
 
 
@@ -58,11 +61,11 @@
     (State.SERVING, Event.RESUME): Transition(State.SERVING, True, "serving already"),
     (State.PAUSED, Event.PAUSE): Transition(State.PAUSED, True, "drained already"),
     (State.PAUSED, Event.RESUME): Transition(State.SERVING, True, "serving"),
-    **_same_in_both(Event.TERM, State.STOPPING, "stopping"),
-    **_same_in_both(Event.HAND_OVER, State.HANDING_OVER, "handing over"),
-    **_same_in_both(Event.HANGUP, None, "reading the configuration again"),
-    **_no_way_back(State.STOPPING),
-    **_no_way_back(State.HANDING_OVER),
+    **_accept_while_running(Event.TERM, State.STOPPING, "stopping"),
+    **_accept_while_running(Event.HAND_OVER, State.HANDING_OVER, "handing over"),
+    **_accept_while_running(Event.HANGUP, None, "reading the configuration again"),
+    **_refuse_all_events(State.STOPPING),
+    **_refuse_all_events(State.HANDING_OVER),
 }
 
 
@@ -82,8 +85,8 @@
         return self._state in (State.STOPPING, State.HANDING_OVER)
 
     def handle(self, event: Event) -> Transition:
-        """An event has come; the step it leads to. Never waits for anybody's work."""
+        """Change the state for an event. Never waits for the work that the new state requires."""
         with self._lock:
-            step = TRANSITIONS[self._state, event]
-            self._state = step.state
-            return step
+            transition = TRANSITIONS[self._state, event]
+            self._state = transition.state
+            return transition
--- a/wickstep/operation/operator_server.py
+++ b/wickstep/operation/operator_server.py
@@ -1,7 +1,7 @@
-"""The operators' address: a listener and the few connections on it, all on one thread of their own.
+"""The operators' address: a listener and a bounded number of connections, all on one thread of their own.
 
-This file owns those sockets. It must never wait for the loop or for a peer, hold more than a bounded number
-of connections, or let one that says nothing keep another from its answer: the oldest goes for want of room.
+This file owns those sockets. It must never wait for the loop or for a peer, hold more than MAX_CONNECTIONS,
+or let a silent connection keep another from its reply: the oldest connection is closed to make room.
 """
 
 from __future__ import annotations
@@ -18,34 +18,34 @@
 
 log = logging.getLogger(__name__)
 
-MAX_CONNECTIONS = 24  # connections; descriptors that callers and setup servers do not have
+MAX_CONNECTIONS = 24  # their descriptors are not available to callers and setup servers
 BACKLOG = 256
-LINE_S = 3.0  # a call has to be whole by then
-REPLY_S = 1.0  # and its reply read by then, or the peer's end closed
-REST_S = 0.05  # out of descriptors, the listener rests for so long
-CHUNK = 512
+COMMAND_TIMEOUT_S = 3.0  # for the whole command line, from the connection's start
+REPLY_TIMEOUT_S = 1.0  # for the peer to read the reply and close its end
+ERROR_PAUSE_S = 0.05  # before the next try, e.g. when out of descriptors
+READ_SIZE = 512
 
 
 @dataclass(slots=True, eq=False)
-class Visitor:
-    """One connection: first its line comes in, then the reply goes out, then its peer closes."""
+class OperatorConnection:
+    """One connection: the command line is read, the reply is written, then the peer closes."""
 
     sock: socket.socket
-    until: float  # it is closed then, whatever it waits for
-    heard: bytes = b""
+    deadline: float  # when the current step (the command, then the reply) times out
+    received: bytes = b""
     reply: bytes = b""
-    replied: bool = field(default=False)  # all is written, and only the peer's end is awaited
+    is_reply_sent: bool = field(default=False)  # whole; only the peer's close is awaited
 
 
 class OperatorServer:
-    """Listens on the operators' address and answers each call from `desk`."""
+    """Listens on the operators' address and answers each command from `handlers`."""
 
-    def __init__(self, where: str, desk: commands.CommandHandlers) -> None:
-        self._desk = desk
-        self._sock = links.bind_socket(where)
+    def __init__(self, address: str, handlers: commands.CommandHandlers) -> None:
+        self._handlers = handlers
+        self._sock = links.bind_socket(address)
         self._sock.listen(BACKLOG)
         self._sock.setblocking(False)
-        self._connections: dict[int, Visitor] = {}  # by descriptor, oldest first
+        self._connections: dict[int, OperatorConnection] = {}  # by descriptor, oldest first
         self._poll = select.poll()
         self._poll.register(self._sock, select.POLLIN)
         self._closed = False
@@ -59,135 +59,136 @@
         links.start_thread(self._run)
 
     def close(self) -> None:
-        """No more calls, within a turn."""
+        """Have the thread close all sockets after its current poll."""
         self._closed = True
 
     def _run(self) -> None:
         while not self._closed:
             try:
-                self.turn(0.2)
-            except Exception:  # without this thread nobody could ask what is wrong
-                log.exception("a fault at the operators' address")
-                time.sleep(REST_S)
-        for visitor in [*self._connections.values()]:
-            self._drop(visitor)
+                self.poll_once(0.2)
+            except Exception:  # without this thread no operator could ask what is wrong
+                log.exception("unexpected error in the thread of the operators' address")
+                time.sleep(ERROR_PAUSE_S)
+        for connection in [*self._connections.values()]:
+            self._drop(connection)
         self._sock.close()
 
-    def turn(self, patience_s: float) -> None:
-        """One look at all sockets, for at most that long."""
+    def poll_once(self, timeout_s: float) -> None:
+        """Wait at most that long for any socket, and serve those that are ready or past their deadline."""
         now = time.monotonic()
-        soonest = min((visitor.until for visitor in self._connections.values()), default=now + patience_s)
-        ready = self._poll.poll(max(min(soonest - now, patience_s), 0) * 1000)
+        next_deadline = min(
+            (connection.deadline for connection in self._connections.values()), default=now + timeout_s
+        )
+        ready = self._poll.poll(max(min(next_deadline - now, timeout_s), 0) * 1000)
         for descriptor, _ in ready:
-            visitor = self._connections.get(descriptor)
-            if visitor is not None:
-                self._serve(visitor)
+            connection = self._connections.get(descriptor)
+            if connection is not None:
+                self._serve(connection)
             else:
-                for _ in range(MAX_CONNECTIONS):  # as many as there may be, then those that wait for a reply
+                for _ in range(MAX_CONNECTIONS):  # bounded, so that replies are written in between
                     if not self._accept():
                         break
         now = time.monotonic()
-        for visitor in [one for one in self._connections.values() if one.until <= now]:
-            self._late(visitor)
+        for connection in [other for other in self._connections.values() if other.deadline <= now]:
+            self._handle_timeout(connection)
 
     def _accept(self) -> bool:
-        """Take one in, if one waits."""
+        """Accept one connection; False if none waits."""
         try:
             sock, _ = self._sock.accept()
         except BlockingIOError:
             return False
-        except OSError as trouble:
-            log.warning("operators' address: %s", trouble)
-            time.sleep(REST_S)
+        except OSError as error:
+            log.warning("cannot accept on the operators' address: %s", error)
+            time.sleep(ERROR_PAUSE_S)
             return False
         sock.setblocking(False)
         if len(self._connections) >= MAX_CONNECTIONS:
             self._drop(next(iter(self._connections.values())))
-        visitor = Visitor(sock, time.monotonic() + LINE_S)
-        self._connections[sock.fileno()] = visitor
+        connection = OperatorConnection(sock, time.monotonic() + COMMAND_TIMEOUT_S)
+        self._connections[sock.fileno()] = connection
         self._poll.register(sock, select.POLLIN)
-        self._serve(visitor)  # its line is there as a rule
+        self._serve(connection)  # its command line has usually come already
         return True
 
-    def _serve(self, visitor: Visitor) -> None:
+    def _serve(self, connection: OperatorConnection) -> None:
         try:
-            if visitor.replied:
-                if not visitor.sock.recv(CHUNK):
-                    self._drop(visitor)
-            elif visitor.reply:
-                self._write(visitor)
+            if connection.is_reply_sent:
+                if not connection.sock.recv(READ_SIZE):
+                    self._drop(connection)
+            elif connection.reply:
+                self._write(connection)
             else:
-                self._read(visitor)
+                self._read(connection)
         except BlockingIOError:
             pass
         except OSError:
-            self._drop(visitor)
+            self._drop(connection)
 
-    def _read(self, visitor: Visitor) -> None:
-        data = visitor.sock.recv(CHUNK)
-        visitor.heard += data
+    def _read(self, connection: OperatorConnection) -> None:
+        data = connection.sock.recv(READ_SIZE)
+        connection.received += data
         try:
-            line = commands.parse_line(visitor.heard)
-        except ValueError as trouble:
-            return self._answer(visitor, commands.failure(str(trouble)))
+            line = commands.parse_line(connection.received)
+        except ValueError as error:
+            return self._start_reply(connection, commands.format_failure(str(error)))
         if line is not None:
-            self._answer(visitor, commands.make_reply(line, self._desk))
+            self._start_reply(connection, commands.make_reply(line, self._handlers))
         elif not data:
-            self._drop(visitor)
+            self._drop(connection)
 
-    def _late(self, visitor: Visitor) -> None:
-        if visitor.reply:
-            self._drop(visitor)  # it does not read
+    def _handle_timeout(self, connection: OperatorConnection) -> None:
+        if connection.reply:
+            self._drop(connection)  # the peer does not read its reply or does not close
         else:
-            self._answer(visitor, commands.failure("no whole line in time"))
+            self._start_reply(connection, commands.format_failure("no whole line in time"))
 
-    def _answer(self, visitor: Visitor, text: str) -> None:
-        visitor.reply, visitor.heard = text.encode(), b""
-        visitor.until = time.monotonic() + REPLY_S
+    def _start_reply(self, connection: OperatorConnection, text: str) -> None:
+        connection.reply, connection.received = text.encode(), b""
+        connection.deadline = time.monotonic() + REPLY_TIMEOUT_S
         try:
-            self._write(visitor)
+            self._write(connection)
         except BlockingIOError:
-            self._poll.modify(visitor.sock, select.POLLOUT)
+            self._poll.modify(connection.sock, select.POLLOUT)
         except OSError:
-            self._drop(visitor)
+            self._drop(connection)
 
-    def _write(self, visitor: Visitor) -> None:
-        sent = visitor.sock.send(visitor.reply)
-        if sent < len(visitor.reply):
-            visitor.reply = visitor.reply[sent:]
-            self._poll.modify(visitor.sock, select.POLLOUT)
+    def _write(self, connection: OperatorConnection) -> None:
+        sent = connection.sock.send(connection.reply)
+        if sent < len(connection.reply):
+            connection.reply = connection.reply[sent:]
+            self._poll.modify(connection.sock, select.POLLOUT)
             return
-        # Its end is awaited: closed with something unread, the connection would be reset under the reply.
-        visitor.replied = True
-        visitor.sock.shutdown(socket.SHUT_WR)
-        self._poll.modify(visitor.sock, select.POLLIN)
-
-    def _drop(self, visitor: Visitor) -> None:
-        del self._connections[visitor.sock.fileno()]
+        # Closing a socket with unread data resets the connection, and the peer may lose the reply: wait until
+        # the peer closes its end.
+        connection.is_reply_sent = True
+        connection.sock.shutdown(socket.SHUT_WR)
+        self._poll.modify(connection.sock, select.POLLIN)
+
+    def _drop(self, connection: OperatorConnection) -> None:
+        del self._connections[connection.sock.fileno()]
         with contextlib.suppress(KeyError, OSError):
-            self._poll.unregister(visitor.sock)
-        visitor.sock.close()
+            self._poll.unregister(connection.sock)
+        connection.sock.close()
 
 
-def send_command(where: str, call: str, patience_s: float = 2.0) -> list[str]:
-    """One call to a running softswitch; the lines of its reply.
+def send_command(address: str, command: str, timeout_s: float = 2.0) -> list[str]:
+    """Send one command to a running softswitch; returns the lines of its reply.
 
-    Raises OSError where nobody answers within `patience_s` seconds, ValueError where `where` is no address.
+    Raises OSError where no whole reply comes within `timeout_s`, ValueError where `address` is invalid.
     """
-    until = time.monotonic() + patience_s
-    heard = b""
-    with socket.create_connection(links.parse_address(where), timeout=patience_s) as sock:
-        sock.sendall(f"{call}\n".encode())
-        while data := _more(sock, until):
-            heard += data
-    return heard.decode(errors="replace").splitlines()
-
-
-def _more(sock: socket.socket, until: float) -> bytes:
-    left = until - time.monotonic()
-    if left <= 0:
-        raise TimeoutError("no whole reply in time")
-    sock.settimeout(left)
-    return sock.recv(CHUNK)
-
-
+    deadline = time.monotonic() + timeout_s
+    received = b""
+    with socket.create_connection(links.parse_address(address), timeout=timeout_s) as sock:
+        sock.sendall(f"{command}\n".encode())
+        while data := _receive(sock, deadline):
+            received += data
+    return received.decode(errors="replace").splitlines()
+
+
+def _receive(sock: socket.socket, deadline: float) -> bytes:
+    remaining = deadline - time.monotonic()
+    if remaining <= 0:
+        raise TimeoutError("no whole reply within the timeout")
+    sock.settimeout(remaining)
+    return sock.recv(READ_SIZE)
--- a/wickstep/operation/service.py
+++ b/wickstep/operation/service.py
@@ -1,7 +1,7 @@
-"""What hooks the operators' part into the loop: it carries out what the state of the process asks for.
+"""Connects this package to the loop: does there what the state of the process requires.
 
-This file owns the clock of a state (since when it holds) and the snapshot of the figures that the loop makes.
-It must never decide which connection goes (draining does) or which state follows (mode does).
+This file owns the time at which a state began, and those metrics that only the loop may count. It must never
+decide which connection is closed (draining does) or which state follows (mode does).
 """
 
 from __future__ import annotations
@@ -29,53 +29,53 @@
 
 log = logging.getLogger(__name__)
 
-SNAPSHOT_EVERY = 200_000  # microseconds; operators may see figures that old
-KEEP_EVERY = 1_000_000  # what is learned is written so often, where a successor may come
-FRESH = 10_000_000_000  # nanoseconds; a predecessor that has written nothing for longer is none any more
+SERVER_COUNT_INTERVAL = 200_000  # microseconds; metrics of the servers may be that old
+SHARE_INTERVAL = 1_000_000  # microseconds between two writes of the learned state for a successor
+MAX_LEARNED_AGE_NS = 10_000_000_000  # a process that has written nothing for longer is no predecessor
 
 
 class Operation:
-    """The loop's side of it all; everything but `status` and `figures` is called by the loop only."""
+    """The loop's side; everything but `status` and `metrics_text` is called on the loop's thread only."""
 
     def __init__(self, shared: SharedState, take_in: TakeInStage, store: LearnedStore | None = None) -> None:
         self.shared, self.take_in, self.store = shared, take_in, store
-        self.applied_state = shared.mode.state  # the state that was carried out last,
-        self.since = shared.now  # and when
-        self.looks_at = 0  # when connections are looked at next
+        self.applied_state = shared.mode.state  # the state that the loop has acted on last
+        self.applied_at = shared.now
+        self.next_scan_at = 0  # of callers' connections, while they are drained
         self.discovered = self.ejected = 0
-        desk = commands.CommandHandlers(self.status, self.figures, shared.mode.handle)
+        handlers = commands.CommandHandlers(self.status, self.metrics_text, shared.mode.handle)
         self.operator_server = (
-            OperatorServer(shared.config.operator, desk) if shared.config.operator else None
+            OperatorServer(shared.config.operator, handlers) if shared.config.operator else None
         )
-        # A successor can come beside this process only where somebody else holds the callers' socket.
+        # A successor can run at the same time only if the callers' socket is inherited from another process.
         folder = shared_folder(shared.config.name) if shared.config.inherited_fd is not None else None
         self.group = ProcessGroup(folder, shared.inbox.put) if folder is not None else None
-        self.sharing = 1  # processes of this softswitch that are there
-        self.undivided = shared.config.settings
+        self.process_count = 1  # of this softswitch that are alive
+        self.full_settings = shared.config.settings
         self.journal: Journal | None = None
 
     def start(self) -> None:
-        """Before the first caller: take over what an earlier process knows, and answer operators."""
+        """Before the first caller: restore what earlier processes have learned, and answer operators."""
         if self.store is not None:
-            self.store.restore(self.take_in.route.controller, self.born_ms(), self.shared.now * 1000)
+            self.store.restore(self.take_in.route.controller, self.server_starts_ms(), self.shared.now * 1000)
             self.store.start()
-            self.shared.schedule(self.shared.now + self.store.interval_us, self.save)
-            self.keep_calls(self.store.plan)
+            self.shared.schedule(self.shared.now + self.store.interval_us, self.store_learned)
+            self.open_journal(self.store.plan)
         if self.group is not None and self.group.join():
-            self.adopt(self.group.load_learned())
-            self.divide()
-            self.keep()
+            self.restore_learned(self.group.load_learned())
+            self.divide_budgets()
+            self.share_learned()
             self.group.start()
         else:
             self.group = None
         if self.operator_server is not None:
-            self.snapshot()
+            self.count_servers()
             self.operator_server.start()
 
     def stop(self) -> None:
-        """At the end: leave to a successor what stands here, and what its callers could not be told."""
+        """At the end: hand established calls and undelivered releases over to a successor."""
         if self.store is not None:
-            self.save()
+            self.store_learned()
             self.store.flush()
         if self.journal is not None:
             self.journal.close()
@@ -84,59 +84,65 @@
         if self.group is not None:
             book, standing = self.take_in.book, self.shared.standing
             releases = [(release.call, release.reason) for _, release in book.unsent]
-            calls_here = {call: attempt.server.host for call, attempt in standing.items()}
-            self.group.leave(handover.encode(calls_here, releases))
+            hosts_by_call = {call: attempt.server.host for call, attempt in standing.items()}
+            self.group.leave(handover.encode(hosts_by_call, releases))
 
-    def keep_calls(self, plan: RecoveryPlan) -> None:
-        """Keep a journal of calls where the operator's file wants one, and settle what the last life left."""
+    def open_journal(self, plan: RecoveryPlan) -> None:
+        """Keep a journal of calls if the recovery file asks for it, and recover the last process's calls."""
         if plan.call_journal is None:
             return
         from wickstep.recovery.call_recovery import CallRecovery
         from wickstep.recovery.journal import Journal
 
-        shared, calls = self.shared, plan.call_journal
-        folder, zero = Path(plan.folder), shared.unix_offset
-        self.journal = Journal(folder, shared.config.name, calls.max_bytes, calls.sync, zero)
-        confirm_us = int(calls.confirm_s * 1_000_000)
+        shared, journal_plan = self.shared, plan.call_journal
+        folder, clock_offset = Path(plan.folder), shared.unix_offset
+        self.journal = Journal(
+            folder, shared.config.name, journal_plan.max_bytes, journal_plan.sync, clock_offset
+        )
+        confirm_us = int(journal_plan.confirm_s * 1_000_000)
         CallRecovery(
-            shared, self.take_in, self.journal, calls.settle_rate, confirm_us, shared.config.seed
+            shared, self.take_in, self.journal, journal_plan.settle_rate, confirm_us, shared.config.seed
         ).start()
         shared.recorder = self.journal
 
     def termination_event(self) -> Event:
-        """What SIGTERM means now."""
+        """The event that a SIGTERM is now."""
         return Event.HAND_OVER if self.group is not None and self.group.has_successor() else Event.TERM
 
     def turn(self) -> None:
-        """Look at the state, and at who else is there, once a turn of the loop."""
+        """Follow changes of the state and of the other processes; called once per turn of the loop."""
         if self.group is not None:
-            if self.sharing != 1 + len(self.group.others):
-                self.divide()
+            if self.process_count != 1 + len(self.group.others):
+                self.divide_budgets()
             if self.shared.list_known:
                 self.group.announce_ready()
         state = self.shared.mode.state
         if state is not self.applied_state:
-            log.warning("%s, after %s", state.value, self.applied_state.value)
-            self.applied_state, self.since = state, self.shared.now
-            self.send_away()
+            log.warning("state changed to %s, was %s", state.value, self.applied_state.value)
+            self.applied_state, self.applied_at = state, self.shared.now
+            self.close_drained_connections()
 
     def refuses_set_ups(self) -> bool:
-        """Whether set-ups that come now are turned away, since the process is drained or about to end."""
-        return draining.should_refuse(DRAIN_PLANS[self.applied_state], self.shared.now - self.since)
+        """Whether set-ups that come now are refused because the process is drained or ending."""
+        return draining.should_refuse(DRAIN_PLANS[self.applied_state], self.shared.now - self.applied_at)
 
-    def send_away(self) -> None:
-        """Close callers' connections that nothing waits on, again and again while the state asks for it."""
+    def close_drained_connections(self) -> None:
+        """Close callers' connections that nothing waits on; repeats itself while the state requires it."""
         shared, plan = self.shared, DRAIN_PLANS[self.applied_state]
-        if plan.close_from is None or self.looks_at > shared.now:
+        if plan.close_from is None or self.next_scan_at > shared.now:
             return
-        self.looks_at = shared.now + draining.LOOK_EVERY
-        shared.schedule(self.looks_at, self.send_away)
-        since = shared.now - self.since
-        here = [link for link in shared.caller_links if not link.is_closing]
+        self.next_scan_at = shared.now + draining.SCAN_INTERVAL
+        shared.schedule(self.next_scan_at, self.close_drained_connections)
+        elapsed = shared.now - self.applied_at
+        open_links = [link for link in shared.caller_links if not link.is_closing]
         standing = {attempt.call.caller for attempt in shared.standing.values()}
-        # A call whose own connection has gone is released on another: the last one stays for those.
-        last = [link for link in here if link in shared.calling_links][-1:] if not standing <= {*here} else []
-        for link in here:
+        # A call whose own connection is closed is released on another: the latest one is kept for those.
+        last = (
+            [link for link in open_links if link in shared.calling_links][-1:]
+            if not standing <= {*open_links}
+            else []
+        )
+        for link in open_links:
             connection = Connection(
                 calls=len(link.calls) + (link in standing),
                 has_unread=not link.calls and link.has_unread(),
@@ -145,93 +151,101 @@
                 sent_tests=link.has_spoken,
                 idle=shared.now - link.heard_at,
             )
-            if draining.should_close(plan, since, connection):
+            if draining.should_close(plan, elapsed, connection):
                 shared.counters["callers_sent_away"] += 1
                 self.take_in.drop(link)
 
-    def divide(self) -> None:
-        """Several processes of one softswitch have one softswitch's part between them.
+    def divide_budgets(self) -> None:
+        """Divide one softswitch's budgets among its processes.
 
-        The controller's budgets for cold servers, trials and probes are a part of all softswitches' sum: each
-        process counts itself as one of so many more. Callers' connections are divided likewise.
+        The controller's budgets for cold servers, trials and probes are shares of a total for all
+        softswitches, so each of N processes counts N times as many softswitches. The limit on callers'
+        connections is divided as well.
         """
         shared = self.shared
-        before, self.sharing = self.sharing, 1 + len(self.group.others if self.group is not None else ())
-        divided = replace(self.undivided, proxies=self.undivided.proxies * self.sharing)
+        previous, self.process_count = (
+            self.process_count,
+            1 + len(self.group.others if self.group is not None else ()),
+        )
+        divided = replace(self.full_settings, proxies=self.full_settings.proxies * self.process_count)
         self.take_in.route.controller.settings = divided
-        shared.caller_limit = shared.config.max_callers // self.sharing
-        log.warning("%d processes share this softswitch's part", self.sharing)
-        if self.sharing < before:
-            # What setup servers have said of calls on the last connections of who has gone, they say again on
-            # the next that is opened.
+        shared.caller_limit = shared.config.max_callers // self.process_count
+        log.warning("%d processes share this softswitch's budgets and limit of callers", self.process_count)
+        if self.process_count < previous:
+            # What setup servers sent about calls on the last connections of an ended process, they repeat on
+            # the next connection that is opened.
             for server in shared.servers.values():
                 self.take_in.send.connect(server, additional=True)
 
-    def born_ms(self) -> dict[str, int]:
-        """The starts of the servers as the list tells them: each process has a zero of its own."""
+    def server_starts_ms(self) -> dict[str, int]:
+        """The servers' starts in Unix time, as on the pool list, since each process has its own time zero."""
         return {server.host: self.shared.born_ms(server) for server in self.shared.servers.values()}
 
-    def keep(self) -> None:
-        """Hand what the controller has learned to the thread that writes it."""
+    def share_learned(self) -> None:
+        """Write the learned state to the folder shared with other processes, on that folder's thread."""
         if self.group is not None:
             shared = self.shared
-            shared.schedule(shared.now + KEEP_EVERY, self.keep)
+            shared.schedule(shared.now + SHARE_INTERVAL, self.share_learned)
             controller = self.take_in.route.controller
             now = shared.now * 1000
             self.group.save_learned(
-                learned.encode(learned.take_snapshot(controller, self.born_ms(), now, now))
+                learned.encode(learned.take_snapshot(controller, self.server_starts_ms(), now, now))
             )
 
-    def save(self) -> None:
-        """Hand it to the thread that writes it into the operator's folder."""
+    def store_learned(self) -> None:
+        """Write the learned state to the folder of the recovery file, on the store's thread."""
         if self.store is not None:
             shared = self.shared
-            shared.schedule(shared.now + self.store.interval_us, self.save)
-            self.store.save_latest(self.take_in.route.controller, self.born_ms(), shared.now * 1000)
+            shared.schedule(shared.now + self.store.interval_us, self.store_learned)
+            self.store.save_latest(self.take_in.route.controller, self.server_starts_ms(), shared.now * 1000)
 
-    def adopt(self, content: object) -> None:
-        """Use what a process that is there, or was a moment ago, has learned; nonsense is passed over."""
+    def restore_learned(self, content: object) -> None:
+        """Use the learned state of a process that is alive or ended a moment ago; ignore an invalid one."""
         if content is None:
             return
-        now = time.monotonic_ns()  # the clock of both
+        now = time.monotonic_ns()  # the clock of both processes
         try:
-            found = learned.decode(content)
-            if now - found.at > FRESH:
-                raise learned.InvalidState(f"{(now - found.at) / 1e9:.0f} s old")
+            state = learned.decode(content)
+            if now - state.at > MAX_LEARNED_AGE_NS:
+                raise learned.InvalidState(f"{(now - state.at) / 1e9:.0f} s old")
             controller = self.take_in.route.controller
-            given = learned.restore(controller, found, self.born_ms(), self.shared.now * 1000, now)
-        except learned.InvalidState as trouble:
-            log.warning("what was learned before is not used: %s", trouble)
+            server_count = learned.restore(
+                controller, state, self.server_starts_ms(), self.shared.now * 1000, now
+            )
+        except learned.InvalidState as error:
+            log.warning("the learned state of an earlier process is not used: %s", error)
         else:
-            log.warning("starting with what was learned of %d servers", given)
+            log.warning("starting with the learned state of %d servers", server_count)
 
-    def on_handover(self, left: HandoverReceived) -> None:
-        """An earlier process has ended: its calls stand on, and their releases come here."""
+    def on_handover(self, received: HandoverReceived) -> None:
+        """An earlier process has ended: its calls remain established, and their releases come here."""
         try:
-            standing, releases = handover.decode(left.content)
-        except handover.InvalidHandover as trouble:
-            log.warning("what another process has left is not used: %s", trouble)
+            standing, releases = handover.decode(received.content)
+        except handover.InvalidHandover as error:
+            log.warning("the handover record of an earlier process is not used: %s", error)
             return
-        log.warning("an earlier process has left %d calls and %d releases", len(standing), len(releases))
+        log.warning(
+            "handover from an earlier process: %d calls and %d releases", len(standing), len(releases)
+        )
         self.shared.inherited_calls.add(standing, self.shared.now)
         for call, reason in releases:
             self.take_in.book.send_release(Release(call, reason), None)
 
-    def snapshot(self) -> None:
-        """Count what only the loop may look at."""
+    def count_servers(self) -> None:
+        """Count the servers, whose table only the loop may read; repeats itself."""
         shared = self.shared
-        shared.schedule(shared.now + SNAPSHOT_EVERY, self.snapshot)
+        shared.schedule(shared.now + SERVER_COUNT_INTERVAL, self.count_servers)
         listed = [s for s in shared.servers.values() if s.state is not ServerState.GONE]
         self.discovered = len(listed)
-        self.ejected = sum(self.avoided(server.host) for server in listed)
+        self.ejected = sum(self.is_ejected(server.host) for server in listed)
 
-    def avoided(self, host: str) -> bool:
-        """Whether the controller passes a server over now, for what it did."""
+    def is_ejected(self, host: str) -> bool:
+        """Whether the controller avoids a server now because of its failures."""
         controller = self.take_in.route.controller
         server = controller.servers.get(host)
         return server is not None and not controller.may_try(server)
 
-    # Any thread.
+    # Called from any thread.
 
     def status(self) -> tuple[bool, str]:
         shared = self.shared
@@ -240,7 +254,7 @@
             return False, "starting: no setup server is known"
         return state is State.SERVING, state.value
 
-    def figures(self) -> str:
+    def metrics_text(self) -> str:
         shared = self.shared
         values = {
             metrics.FORWARDS: shared.counters["set_ups_sent"],
