--- a/wickstep/numbering/portability.py
+++ b/wickstep/numbering/portability.py
@@ -1,14 +1,14 @@
-"""Portability look-ups: what is asked, what is remembered, and when asking stops.
+"""Portability look-ups: queries, the cache of results, and the circuit breaker.
 
-This file owns every decision about look-ups: the cache and its ages, which questions are joined, how many
-are out, how long a call waits, and the circuit breaker. It must never touch a socket or a clock: times are
-handed in, in microseconds, and questions come out as `Ask`. It never decides about a call: a call gets
-`PortingResult`, or None, which means that the route's fallback holds.
+This file owns every decision about look-ups: the cache and its lifetimes, which calls share a query, how many
+queries are outstanding, how long a call waits, and the circuit breaker. It must never touch a socket or a
+clock: times are passed in, in microseconds, and queries are returned as `QueryRequest`. It never decides
+about a call: a call gets a `PortingResult`, or None, which means that the route's fallback applies.
 
-A call's wait is bounded twice: by the plan, and by a part of what the call has left until its deadline, so
-that whatever the database does there is time to set the call up. A question outlives the calls that wait
-for it until its own time is up: the answer is worth remembering. One that comes after that is dropped: by
-then it counts as failed, and the breaker has seen it.
+A call's wait is bounded twice, by the settings and by a part of the time that the call has left until its
+deadline, so that whatever the database does, enough time remains to set the call up. A query stays
+outstanding until its own deadline, even when the calls that wait for it have gone, because its answer is
+worth caching. A later answer is dropped: by then the query counts as failed, also for the circuit breaker.
 """
 
 from __future__ import annotations
@@ -21,189 +21,195 @@
 from wickstep.numbering.table import PortabilitySettings
 
 MS = 1000
-REST_MOST = 16  # times the plan's: how long the breaker rests at most
-WAITING_MOST = 1000  # calls that wait for one question
+MAX_REST_FACTOR = 16  # the breaker stays open for at most this many times `rest_ms`
+MAX_CALLS_PER_QUERY = 1000  # that wait for one and the same query
 
 
 @dataclass(slots=True, frozen=True)
-class Ask:
-    """Put this question; the answer is wanted until then."""
+class QueryRequest:
+    """A query to be sent; its answer is of use until the deadline."""
 
-    question: int
+    query_id: int
     number: str
-    due: int
+    deadline: int
 
 
 @dataclass(slots=True, frozen=True)
-class Told:
-    """A call has its answer; None: the fallback."""
+class LookUpResult:
+    """The result for one call; None: the fallback applies."""
 
     call: Hashable
-    found: PortingResult | None
+    result: PortingResult | None
 
 
 @dataclass(slots=True)
-class Question:
+class Query:
+    """An outstanding query."""
+
     number: str
-    due: int
-    waiting: dict[Hashable, int] = field(default_factory=dict)  # call -> until when it waits
+    deadline: int
+    waiting_calls: dict[Hashable, int] = field(default_factory=dict)  # call -> end of its wait
 
 
-class Breaker:
-    """Closed while answers come; open after failures in a row; then one trial at a time.
+class CircuitBreaker:
+    """Closed while answers come, open after consecutive failures, then half-open: one trial at a time.
 
-    Each trial that fails doubles the rest, up to `REST_MOST` times the first.
+    Each trial that fails doubles the time until the next, up to `MAX_REST_FACTOR` times the first.
     """
 
-    def __init__(self, plan: PortabilitySettings) -> None:
-        self.plan = plan
+    def __init__(self, settings: PortabilitySettings) -> None:
+        self.settings = settings
         self.failures = 0
         self.open_until = 0
-        self.rests = 0
-        self.trial: int | None = None  # the question that tries it out
+        self.rest_doublings = 0
+        self.trial_query: int | None = None
 
-    def lets_ask(self, now: int) -> bool:
-        if self.failures < self.plan.trips_after:
+    def allows_query(self, now: int) -> bool:
+        if self.failures < self.settings.trips_after:
             return True
-        return now >= self.open_until and self.trial is None
+        return now >= self.open_until and self.trial_query is None
 
-    def asked(self, question: int) -> None:
-        if self.failures >= self.plan.trips_after:
-            self.trial = question
+    def query_sent(self, query_id: int) -> None:
+        if self.failures >= self.settings.trips_after:
+            self.trial_query = query_id
 
-    def answered(self, question: int) -> None:
-        self.failures, self.rests = 0, 0
-        self.trial = None
+    def query_answered(self, query_id: int) -> None:
+        self.failures, self.rest_doublings = 0, 0
+        self.trial_query = None
 
-    def failed(self, question: int, now: int) -> None:
+    def query_failed(self, query_id: int, now: int) -> None:
         self.failures += 1
-        if self.trial == question:
-            self.trial = None
-        elif self.failures != self.plan.trips_after:
-            return  # of those that were out when it opened
-        rest = self.plan.rest_ms * MS * min(1 << self.rests, REST_MOST)
-        self.rests = min(self.rests + 1, 16)
+        if self.trial_query == query_id:
+            self.trial_query = None
+        elif self.failures != self.settings.trips_after:
+            return  # too few failures yet, or a query that was outstanding when the breaker opened
+        rest = self.settings.rest_ms * MS * min(1 << self.rest_doublings, MAX_REST_FACTOR)
+        self.rest_doublings = min(self.rest_doublings + 1, 16)
         self.open_until = now + rest
 
 
 class LookUps:
     """All look-ups of one softswitch."""
 
-    def __init__(self, plan: PortabilitySettings) -> None:
-        self.plan = plan
-        self.breaker = Breaker(plan)
-        self.questions: OrderedDict[int, Question] = OrderedDict()  # by number, the oldest first
+    def __init__(self, settings: PortabilitySettings) -> None:
+        self.settings = settings
+        self.breaker = CircuitBreaker(settings)
+        self.queries: OrderedDict[int, Query] = OrderedDict()  # by id, the oldest first
         self.by_number: dict[str, int] = {}
         self.by_call: dict[Hashable, int] = {}
-        self.cache: OrderedDict[str, tuple[int, PortingResult]] = OrderedDict()  # until when, and what
-        self.serial = 0
-        self.counts: dict[str, int] = {}
-
-    def renew(self, plan: PortabilitySettings) -> None:
-        """Another table's figures. What is known and out stays, and so does the breaker's state."""
-        self.plan = self.breaker.plan = plan
-        self._trim()
-
-    def look_up(self, call: Hashable, number: str, now: int, deadline: int) -> list[Ask | Told]:
-        """A call asks; the answer is here at once, or `Told` comes later, by the end of its wait."""
-        known = self._remembered(number, now)
-        if known is not None:
-            return self._tell("cached", call, known)
-        wait = min(self.plan.budget_ms * MS, int((deadline - now) * self.plan.budget_part))
+        self.cache: OrderedDict[str, tuple[int, PortingResult]] = OrderedDict()  # expiry time and result
+        self.last_id = 0
+        self.counters: dict[str, int] = {}
+
+    def change_settings(self, settings: PortabilitySettings) -> None:
+        """Take a new table's settings; the cache, outstanding queries and the breaker's state are kept."""
+        self.settings = self.breaker.settings = settings
+        self._trim_cache()
+
+    def look_up(
+        self, call: Hashable, number: str, now: int, deadline: int
+    ) -> list[QueryRequest | LookUpResult]:
+        """Look up a number for a call: the result is returned at once, or later, by the end of its wait."""
+        cached_result = self._get_cached(number, now)
+        if cached_result is not None:
+            return self._finish_now("cached", call, cached_result)
+        wait = min(self.settings.budget_ms * MS, int((deadline - now) * self.settings.budget_part))
         if wait <= 0:
-            return self._tell("without_time", call, None)
-        at = self.by_number.get(number)
-        if at is not None:
-            question = self.questions[at]
-            if len(question.waiting) >= WAITING_MOST:
-                return self._tell("crowded", call, None)
+            return self._finish_now("without_time", call, None)
+        query_id = self.by_number.get(number)
+        if query_id is not None:
+            query = self.queries[query_id]
+            if len(query.waiting_calls) >= MAX_CALLS_PER_QUERY:
+                return self._finish_now("crowded", call, None)
             self._count("joined")
-            question.waiting[call] = min(now + wait, question.due)
-            self.by_call[call] = at
+            query.waiting_calls[call] = min(now + wait, query.deadline)
+            self.by_call[call] = query_id
             return []
-        if len(self.questions) >= self.plan.outstanding:
-            return self._tell("over_the_limit", call, None)
-        if not self.breaker.lets_ask(now):
-            return self._tell("broken", call, None)
-        self.serial += 1
-        at, due = self.serial, now + self.plan.budget_ms * MS
-        self.questions[at] = Question(number, due, {call: now + wait})
-        self.by_number[number] = at
-        self.by_call[call] = at
-        self.breaker.asked(at)
+        if len(self.queries) >= self.settings.outstanding:
+            return self._finish_now("over_the_limit", call, None)
+        if not self.breaker.allows_query(now):
+            return self._finish_now("broken", call, None)
+        self.last_id += 1
+        query_id, query_deadline = self.last_id, now + self.settings.budget_ms * MS
+        self.queries[query_id] = Query(number, query_deadline, {call: now + wait})
+        self.by_number[number] = query_id
+        self.by_call[call] = query_id
+        self.breaker.query_sent(query_id)
         self._count("asked")
-        return [Ask(at, number, due)]
-
-    def gave_up(self, call: Hashable) -> None:
-        """The caller has left, or the call has ended otherwise: nothing is told to it any more."""
-        at = self.by_call.pop(call, None)
-        if at is not None:
-            self.questions[at].waiting.pop(call, None)
-
-    def answered(self, at: int, found: PortingResult, now: int) -> list[Told]:
-        """An answer has come; nobody asked, or nobody asks any more: dropped."""
-        question = self._end(at)
-        if question is None:
+        return [QueryRequest(query_id, number, query_deadline)]
+
+    def cancel(self, call: Hashable) -> None:
+        """The call has ended, or its caller has left: it gets no result any more."""
+        query_id = self.by_call.pop(call, None)
+        if query_id is not None:
+            self.queries[query_id].waiting_calls.pop(call, None)
+
+    def handle_answer(self, query_id: int, result: PortingResult, now: int) -> list[LookUpResult]:
+        """Cache an answer and return it for the waiting calls; one to no outstanding query is dropped."""
+        query = self._remove(query_id)
+        if query is None:
             self._count("late")
             return []
-        self.breaker.answered(at)
-        self._count("ported" if found.routing_number else "not_ported")
-        age = self.plan.keep_ms if found.routing_number else self.plan.keep_negative_ms
-        if age:
-            self.cache[question.number] = (now + age * MS, found)
-            self.cache.move_to_end(question.number)
-            self._trim()
-        return [Told(call, found) for call in question.waiting]
-
-    def failed(self, at: int, now: int) -> list[Told]:
-        """It could not be asked, or what came could not be read."""
-        question = self._end(at)
-        if question is None:
+        self.breaker.query_answered(query_id)
+        self._count("ported" if result.routing_number else "not_ported")
+        lifetime_ms = self.settings.keep_ms if result.routing_number else self.settings.keep_negative_ms
+        if lifetime_ms:
+            self.cache[query.number] = (now + lifetime_ms * MS, result)
+            self.cache.move_to_end(query.number)
+            self._trim_cache()
+        return [LookUpResult(call, result) for call in query.waiting_calls]
+
+    def handle_failure(self, query_id: int, now: int) -> list[LookUpResult]:
+        """The query could not be sent, had no answer in time, or had an invalid one."""
+        query = self._remove(query_id)
+        if query is None:
             return []
-        self.breaker.failed(at, now)
+        self.breaker.query_failed(query_id, now)
         self._count("failed")
-        return [Told(call, None) for call in question.waiting]
+        return [LookUpResult(call, None) for call in query.waiting_calls]
 
-    def due(self, now: int) -> list[Told]:
-        """What has waited for as long as it may."""
-        told: list[Told] = []
-        for at, question in list(self.questions.items()):
-            if question.due <= now:
+    def expire(self, now: int) -> list[LookUpResult]:
+        """End the queries whose deadline has passed, and the waits of calls that may wait no longer."""
+        results: list[LookUpResult] = []
+        for query_id, query in list(self.queries.items()):
+            if query.deadline <= now:
                 self._count("timed_out")
-                told += self.failed(at, now)
+                results += self.handle_failure(query_id, now)
                 continue
-            for call in [call for call, until in question.waiting.items() if until <= now]:
-                del question.waiting[call]
+            for call in [call for call, wait_end in query.waiting_calls.items() if wait_end <= now]:
+                del query.waiting_calls[call]
                 del self.by_call[call]
                 self._count("out_of_time")
-                told.append(Told(call, None))
-        return told
+                results.append(LookUpResult(call, None))
+        return results
 
-    def _remembered(self, number: str, now: int) -> PortingResult | None:
-        until, found = self.cache.get(number, (0, None))
-        if found is None:
+    def _get_cached(self, number: str, now: int) -> PortingResult | None:
+        expires_at, result = self.cache.get(number, (0, None))
+        if result is None:
             return None
-        if until <= now:
+        if expires_at <= now:
             del self.cache[number]
             return None
         self.cache.move_to_end(number)
-        return found
+        return result
 
-    def _trim(self) -> None:
-        while len(self.cache) > self.plan.cached:
+    def _trim_cache(self) -> None:
+        while len(self.cache) > self.settings.cached:
             self.cache.popitem(last=False)
 
-    def _end(self, at: int) -> Question | None:
-        question = self.questions.pop(at, None)
-        if question is not None:
-            del self.by_number[question.number]
-            for call in question.waiting:
+    def _remove(self, query_id: int) -> Query | None:
+        query = self.queries.pop(query_id, None)
+        if query is not None:
+            del self.by_number[query.number]
+            for call in query.waiting_calls:
                 del self.by_call[call]
-        return question
+        return query
 
-    def _tell(self, why: str, call: Hashable, found: PortingResult | None) -> list[Ask | Told]:
-        self._count(why)
-        return [Told(call, found)]
+    def _finish_now(
+        self, counter: str, call: Hashable, result: PortingResult | None
+    ) -> list[QueryRequest | LookUpResult]:
+        self._count(counter)
+        return [LookUpResult(call, result)]
 
-    def _count(self, what: str) -> None:
-        self.counts[what] = self.counts.get(what, 0) + 1
+    def _count(self, counter: str) -> None:
+        self.counters[counter] = self.counters.get(counter, 0) + 1
