--- a/tests/test_number_stories.py
+++ b/tests/test_number_stories.py
@@ -332,16 +332,16 @@
             while data := peer.sock.recv(65536):
                 for message in peer.splitter.feed(data):
                     if isinstance(message, SetUp):
-                        self.checker.began(message.call, self.name)
+                        self.checker.record_attempt(message.call, self.name)
                         open_calls.add(message.call)
                         self.handle_set_up(peer, open_calls, message.call)
                     elif isinstance(message, Release) and message.call in open_calls:
                         open_calls.discard(message.call)
-                        self.checker.ended(message.call, self.name, "given_up")
+                        self.checker.record_attempt_end(message.call, self.name, "given_up")
         except (OSError, MalformedMessage):
             pass
         for call in open_calls:
-            self.checker.ended(call, self.name, "reset")
+            self.checker.record_attempt_end(call, self.name, "reset")
 
     def handle_set_up(self, peer: Peer, open_calls: set[int], call: int) -> None:
         draw = self.rng.random()
@@ -349,13 +349,13 @@
             return  # never answered
         open_calls.discard(call)
         if draw < 0.25:
-            self.checker.ended(call, self.name, "failed")
+            self.checker.record_attempt_end(call, self.name, "failed")
             peer.say(Release(call, Reason.FULL, Note.OVERLOAD))
         elif draw < 0.35:
-            self.checker.ended(call, self.name, "reset")
+            self.checker.record_attempt_end(call, self.name, "reset")
             peer.say(Release(call, Reason.INTERRUPTED))
         else:
-            self.checker.ended(call, self.name, "stands")
+            self.checker.record_attempt_end(call, self.name, "stands")
             peer.say(Answer(call, b"accept"), Release(call, Reason.CLEARED))
 
 
@@ -390,11 +390,11 @@
                 for message in caller.splitter.feed(data):
                     if isinstance(message, Answer):
                         answered.add(message.call)
-                        checker.final(message.call, "stands")
+                        checker.record_final(message.call, "stands")
                     elif isinstance(message, Release):
                         caller.say(ReleaseComplete(message.call))
                         if message.call not in answered:
-                            checker.final(message.call, message.reason.value)
+                            checker.record_final(message.call, message.reason.value)
         except OSError:
             pass
 
@@ -419,11 +419,11 @@
         prefix = rng.choice(["011", "012", "021", "041", "099"])
         max_wait_ms = rng.choice([600, 1500, 3000])
         allowed = {"011": {"s-0", "s-1"}, "012": {"s-0", "s-1"}, "021": {"s-1"}}.get(prefix, set())
-        checker.may_take[call] = frozenset(allowed)
-        checker.asked(call, max_wait_ms / 1000)
+        checker.allowed_servers[call] = frozenset(allowed)
+        checker.record_set_up(call, max_wait_ms / 1000)
         caller.say(SetUp(call, "voice", max_wait_ms, f"{prefix}{index:04d}", b"offer", first_choice=0))
         if rng.random() < 0.1:
-            checker.left(call)
+            checker.record_left(call)
             caller.say(Release(call, Reason.CLEARED))
         time.sleep(0.005)
     wait_for(lambda: rig.counters["taken_in"] == calls)  # otherwise the last calls may still be unread
@@ -431,14 +431,14 @@
     # On a busy machine the calls may be over before enough tables have been loaded.
     wait_for(lambda: min(rig.counters["number_tables_swapped"], rig.counters["number_tables_refused"]) > 3)
     # The last answers may still be on their way, and cannot be confirmed once the connections are shut down.
-    wait_for(lambda: not any("no final answer" in message for message in checker.broken()))
+    wait_for(lambda: not any("no final answer" in violation for violation in checker.find_violations()))
     load_ended.set()
     threads[-1].join(TIMEOUT_S)
     for caller in callers:
         caller.sock.shutdown(socket.SHUT_WR)
     for thread in threads:
         thread.join(TIMEOUT_S)
-    assert checker.broken() == []
+    assert checker.find_violations() == []
     outcomes = [outcome for record in checker.calls.values() for _, outcome in record.finals]
     assert {"stands", "barred", "unallocated"} <= set(outcomes)
     assert rig.counters["number_tables_swapped"] > 3
