--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -1,9 +1,9 @@
-"""Where the memory of a serving process goes: by import, by connection and its thread, by message, by call.
+"""Benchmark of the memory of a serving process: per import, connection and its thread, message and call.
 
-    python -m benchmarks.memory              # prints a table; a minute, loopback only
+    python -m benchmarks.memory              # prints a table; takes a minute, loopback only
 
-Each row is a `serve` of its own, measured from outside (VmRSS of /proc) before and after. The toy setup
-server answers every set-up. Nothing here judges.
+Each row of connections has a `serve` process of its own, measured from outside (VmRSS of /proc) before and
+after. The toy setup server answers every set-up. There is no pass or fail here.
 """
 
 from __future__ import annotations
@@ -25,56 +25,56 @@
 
 ROOT = Path(__file__).parent.parent
 IMPORTS = ("sys", "click", "ujson", "hashlib", "wickstep.brain", "wickstep.__main__")
-TOY = ["--port", "0", "--bulletin-port", "0", "--stands-s", "60"]
+TOY_SERVER_OPTIONS = ["--port", "0", "--bulletin-port", "0", "--stands-s", "60"]
 SETTLE_S = 0.7
 
 
-def resident(pid: int) -> int:
-    """Kilobytes that a process holds."""
-    found = re.search(r"VmRSS:\s+(\d+)", Path(f"/proc/{pid}/status").read_text())
-    return int(found[1]) if found else 0
+def read_resident_kb(pid: int) -> int:
+    """Resident memory of a process, in kilobytes."""
+    match = re.search(r"VmRSS:\s+(\d+)", Path(f"/proc/{pid}/status").read_text())
+    return int(match[1]) if match else 0
 
 
-def imported(name: str) -> tuple[int, float]:
-    """Kilobytes of a fresh interpreter that has imported a module, and the seconds that took it."""
+def measure_import(name: str) -> tuple[int, float]:
+    """Kilobytes of a fresh interpreter after importing a module, and the seconds that the import took."""
     code = f"import time; t = time.perf_counter(); import {name}; "
     code += "print(time.perf_counter() - t, flush=True); input()"
     with subprocess.Popen(
         [sys.executable, "-c", code], cwd=ROOT, stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True
     ) as child:
         assert child.stdout is not None
-        took = float(child.stdout.readline())
-        held = resident(child.pid)
+        duration_s = float(child.stdout.readline())
+        memory_kb = read_resident_kb(child.pid)
         child.communicate("\n")
-    return held, took
+    return memory_kb, duration_s
 
 
-class Served:
-    """A toy setup server and a `serve`, ended at the end."""
+class ServeProcess:
+    """A toy setup server and a `serve` process, until `close`."""
 
     def __init__(self, memory_mb: int) -> None:
         self.toy = subprocess.Popen(
-            [sys.executable, "-m", "examples.toy_server", *TOY],
+            [sys.executable, "-m", "examples.toy_server", *TOY_SERVER_OPTIONS],
             cwd=ROOT, stdout=subprocess.PIPE, text=True,
         )  # fmt: skip
         assert self.toy.stdout is not None
         bulletin = self.toy.stdout.readline().split()[-1]
-        conf = json.loads((ROOT / "examples" / "config.json").read_text())
-        with socket.create_server(("127.0.0.1", 0)) as free:
-            conf["listen"] = f"127.0.0.1:{free.getsockname()[1]}"
-        conf["bulletin"] = bulletin
-        conf["limits"]["memory_mb"] = memory_mb
-        self.where = ("127.0.0.1", int(conf["listen"].rpartition(":")[2]))
+        config = json.loads((ROOT / "examples" / "config.json").read_text())
+        with socket.create_server(("127.0.0.1", 0)) as free_socket:
+            config["listen"] = f"127.0.0.1:{free_socket.getsockname()[1]}"
+        config["bulletin"] = bulletin
+        config["limits"]["memory_mb"] = memory_mb
+        self.address = ("127.0.0.1", int(config["listen"].rpartition(":")[2]))
         path = Path(tempfile.mkdtemp()) / "config.json"
-        path.write_text(json.dumps(conf))
+        path.write_text(json.dumps(config))
         self.child = subprocess.Popen(
             [sys.executable, "-m", "wickstep", "serve", "--config", str(path)], cwd=ROOT,
             env={**os.environ, "MALLOC_ARENA_MAX": "2"}, stderr=subprocess.DEVNULL,
         )  # fmt: skip
-        until = time.monotonic() + 10
-        while time.monotonic() < until:
+        deadline = time.monotonic() + 10
+        while time.monotonic() < deadline:
             try:
-                socket.create_connection(self.where, timeout=1).close()
+                socket.create_connection(self.address, timeout=1).close()
                 break
             except OSError:
                 time.sleep(0.05)
@@ -86,10 +86,12 @@
             child.wait()
 
 
-def connected(where: tuple[str, int], count: int, each: Callable[[int], bytes]) -> list[socket.socket]:
-    socks = [socket.create_connection(where, timeout=5) for _ in range(count)]
+def open_connections(
+    address: tuple[str, int], count: int, payload: Callable[[int], bytes]
+) -> list[socket.socket]:
+    socks = [socket.create_connection(address, timeout=5) for _ in range(count)]
     for number, sock in enumerate(socks):
-        sock.sendall(each(number))
+        sock.sendall(payload(number))
     return socks
 
 
@@ -97,7 +99,7 @@
     return codec.encode(SetUp(number + 1, "general", 8000, "7f3a9c21e0b4d655", b"x" * size, first_choice=0))
 
 
-ROWS: dict[str, Callable[[int], bytes]] = {
+CONNECTION_PAYLOADS: dict[str, Callable[[int], bytes]] = {
     "idle connection": lambda number: b"",
     "connection that stops half way": lambda number: set_up(number)[:20],
     "connection with half a message of 16 KiB": lambda number: set_up(number, 15000)[:8000],
@@ -108,25 +110,30 @@
 
 @click.command()
 @click.option("--connections", default=100, show_default=True)
-@click.option("--memory-mb", default=192, show_default=True, help="The limit that the configuration tells.")
+@click.option("--memory-mb", default=192, show_default=True, help="The limit in the configuration.")
 def main(connections: int, memory_mb: int) -> None:
-    """Print where the memory goes."""
-    before = imported("sys")[0]
+    """Print the memory per import and per connection."""
+    baseline_kb = measure_import("sys")[0]
     for name in IMPORTS:
-        held, took = imported(name)
-        click.echo(f"import {name:28} {held - before:7} KB more than the interpreter, {1000 * took:6.1f} ms")
-    for name, each in ROWS.items():
-        served = Served(memory_mb)
+        memory_kb, duration_s = measure_import(name)
+        click.echo(
+            f"import {name:28} {memory_kb - baseline_kb:7} KB more than the interpreter, "
+            f"{1000 * duration_s:6.1f} ms"
+        )
+    for name, payload in CONNECTION_PAYLOADS.items():
+        process = ServeProcess(memory_mb)
         try:
-            empty = resident(served.child.pid)
-            socks = connected(served.where, connections, each)
+            empty_kb = read_resident_kb(process.child.pid)
+            socks = open_connections(process.address, connections, payload)
             time.sleep(SETTLE_S)
-            full = resident(served.child.pid)
+            full_kb = read_resident_kb(process.child.pid)
             for sock in socks:
                 sock.close()
-            click.echo(f"{name:42} {(full - empty) / connections:7.1f} KB each, of {empty} KB with none")
+            click.echo(
+                f"{name:42} {(full_kb - empty_kb) / connections:7.1f} KB each, {empty_kb} KB without any"
+            )
         finally:
-            served.close()
+            process.close()
 
 
 if __name__ == "__main__":
