--- a/tests/test_comeback.py
+++ b/tests/test_comeback.py
@@ -212,10 +212,10 @@
     ("text", "message"),
     [
         ("recovery", "no folder is given"),
-        ('recovery { folder "x"; every-s 0; }', "no number from"),
-        ('recovery { folder 5; }', "a text is wanted"),
-        ('recovery { folder "x"; fsync; }', "has no place"),
-        ('other { folder "x"; }', "one node `recovery`"),
+        ('recovery { folder "x"; every-s 0; }', "expected a number from"),
+        ('recovery { folder 5; }', "got 5.0, expected text"),
+        ('recovery { folder "x"; fsync; }', "unknown node fsync, expected one of"),
+        ('other { folder "x"; }', "expected exactly one node `recovery`"),
     ],
 )
 def test_a_wrong_recovery_file_is_rejected(text: str, message: str) -> None:
--- a/wickstep/forms.py
+++ b/wickstep/forms.py
@@ -37,21 +37,25 @@
         """Takes a property that is text, or the next argument where `name` is empty."""
         value = self._take(name, default)
         if not isinstance(value, str) or not value or (choices and value not in choices):
-            raise self.error(f"{name or 'argument'}: {value!r}, {' or '.join(choices) or 'a text is wanted'}")
+            raise self.error(
+                f"{name or 'argument'}: got {value!r}, expected {' or '.join(choices) or 'text'}"
+            )
         return value
 
     def take_number(self, name: str, default: float | None, minimum: float, maximum: float) -> float:
         """Takes a property that is a number within bounds, or the next argument where `name` is empty."""
         value = self._take(name, default)
         if isinstance(value, bool) or not isinstance(value, int | float) or not minimum <= value <= maximum:
-            raise self.error(f"{name or 'argument'}: {value!r} is no number from {minimum:g} to {maximum:g}")
+            raise self.error(
+                f"{name or 'argument'}: got {value!r}, expected a number from {minimum:g} to {maximum:g}"
+            )
         return float(value)
 
     def take_integer(self, name: str, default: int | None, minimum: int, maximum: int) -> int:
         """Takes a whole number in the same way."""
         value = self.take_number(name, default, minimum, maximum)
         if not value.is_integer():
-            raise self.error(f"{name or 'argument'}: {value:g} is no whole number")
+            raise self.error(f"{name or 'argument'}: got {value:g}, expected a whole number")
         return int(value)
 
     def unread_properties(self) -> set[str]:
@@ -63,7 +67,7 @@
         nodes, self._children = self._children, []
         for node in nodes:
             if node.name not in names:
-                raise self.error(f"{node.name} has no place here, expected one of: {', '.join(names)}")
+                raise self.error(f"unknown node {node.name}, expected one of: {', '.join(names)}")
             yield KdlNode(node)
 
     def reject_unread(self) -> None:
@@ -72,7 +76,7 @@
             *map(repr, self._arguments), *sorted(self._properties), *(node.name for node in self._children),
         ]  # fmt: skip
         if unread:
-            raise self.error(f"knows no {', '.join(unread)}")
+            raise self.error(f"unknown arguments, properties or nodes: {', '.join(unread)}")
 
     def _take(self, name: str, default: Any) -> Any:
         property_value = self._properties.pop(name, default) if name else None
