--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -77,8 +77,8 @@
         max_wait = more.pop("max_wait", 3 * SECOND)
         return self.handle(api.NewCall(number, klass, max_wait, first, **more))
 
-    def call_stands(self, number: int, server: str, took: int = 50 * MS, attempt: int = 0) -> api.Actions:
-        return self.handle(api.CallStands(number, attempt, server, took))
+    def call_stands(self, number: int, server: str, delay: int = 50 * MS, attempt: int = 0) -> api.Actions:
+        return self.handle(api.CallStands(number, attempt, server, delay))
 
     def attempt_ended(
         self,
@@ -86,12 +86,12 @@
         server: str,
         outcome: api.Outcome,
         attempt: int = 0,
-        over: bool = False,
-        busy: bool = False,
+        call_over: bool = False,
+        callee_busy: bool = False,
         report: dict[str, float] | None = None,
     ) -> api.Actions:
         return self.handle(
-            api.AttemptEnded(number, attempt, server, outcome, 50 * MS, over, busy, report or {})
+            api.AttemptEnded(number, attempt, server, outcome, 50 * MS, call_over, callee_busy, report or {})
         )
 
     def advance(self, duration: int) -> api.Actions:
--- a/tests/test_agents.py
+++ b/tests/test_agents.py
@@ -85,7 +85,7 @@
     host.report_lines(s0=(40, 40))
     order = [action.call for action in host.advance(SECOND // 2) if isinstance(action, api.Send)]
     for number in list(order):
-        order += [a.call for a in host.call_stands(number, "s0", took=5 * MS) if isinstance(a, api.Send)]
+        order += [a.call for a in host.call_stands(number, "s0", delay=5 * MS) if isinstance(a, api.Send)]
     assert order == [4, 3, 1, 2]
 
 
@@ -136,8 +136,8 @@
     assert sent_servers(host.new_call(1)) == ["s0"]
     host.call_stands(1, "s0")
     host.new_call(2)
-    over = host.attempt_ended(1, "s0", api.Outcome.ENDED, over=True, report={"free": 2, "lines": 40})
-    assert sent_servers(over) == ["s0"]
+    actions = host.attempt_ended(1, "s0", api.Outcome.ENDED, call_over=True, report={"free": 2, "lines": 40})
+    assert sent_servers(actions) == ["s0"]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_comeback.py
+++ b/tests/test_comeback.py
@@ -61,7 +61,7 @@
     rig.open(list_line(server, "s-1"))
     before, caller = time.monotonic(), rig.caller()
     call = rig.call(caller)
-    server.accept().hear(SetUp, call)
+    server.accept().receive(SetUp, call)
     assert time.monotonic() - before < 2
 
 
@@ -213,7 +213,7 @@
     [
         ("recovery", "no folder is given"),
         ('recovery { folder "x"; every-s 0; }', "expected a number from"),
-        ('recovery { folder 5; }', "got 5.0, expected text"),
+        ("recovery { folder 5; }", "got 5.0, expected text"),
         ('recovery { folder "x"; fsync; }', "unknown node fsync, expected one of"),
         ('other { folder "x"; }', "expected exactly one node `recovery`"),
     ],
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -33,18 +33,18 @@
 from .test_softswitch import (
     LINES,
     TIMEOUT_S,
-    One,
+    ConnectedRig,
     Peer,
     Rig,
     Server,
+    connected,
     list_line,
-    one,
     rig,
     set_up_call,
     wait_for,
 )
 
-__all__ = ["one", "rig"]  # fixtures
+__all__ = ["connected", "rig"]  # fixtures
 
 CLOSED, CLOSE_WAIT = 7, 8  # TCP_INFO states: the connection was reset; its peer has closed
 
@@ -83,8 +83,8 @@
 def find_link(rig: Rig, caller: Peer) -> links.Link:
     """The softswitch's end of a caller's connection, once the loop has answered on it."""
     assert rig.switch is not None
-    caller.say(Test(1))
-    caller.hear(TestResult, 1)
+    caller.send(Test(1))
+    caller.receive(TestResult, 1)
     address = caller.sock.getsockname()
     return next(link for link in [*rig.switch.shared.caller_links] if link.sock.getpeername() == address)
 
@@ -123,16 +123,16 @@
 
     The loop has done so when it answers the test that `prober` sends.
     """
-    prober.say(Test(2))
-    prober.hear(TestResult, 2)
+    prober.send(Test(2))
+    prober.receive(TestResult, 2)
     peer.sock.settimeout(0)
     try:
         while data := peer.sock.recv(65536):
-            peer.read += peer.splitter.feed(data)
+            peer.received += peer.splitter.feed(data)
     except BlockingIOError:
         pass
     peer.sock.settimeout(TIMEOUT_S)
-    return peer.read
+    return peer.received
 
 
 def set_up_calls(messages: list[Message]) -> list[int]:
@@ -154,13 +154,13 @@
 
 def release_call(caller: Peer, link: links.Link, call: int) -> None:
     with wait_until_read(link):
-        caller.say(Release(call, Reason.CLEARED))
+        caller.send(Release(call, Reason.CLEARED))
 
 
 def close_after_burst(caller: Peer, link: links.Link, call: int) -> None:
     numbers = range(0xE00, 0xE00 + 2 * links.MAX_SHARES_AHEAD)
     # The reader pauses before the end of the connection, since its shares of the inbox are used up.
-    caller.say(*(SetUp(number, "voice", 5000, "7", b"offer", first_choice=0) for number in numbers))
+    caller.send(*(SetUp(number, "voice", 5000, "7", b"offer", first_choice=0) for number in numbers))
     caller.sock.close()
     wait_for_state(link, CLOSE_WAIT)
 
@@ -170,17 +170,17 @@
 
 @pytest.mark.parametrize("leave", WAYS_TO_LEAVE)
 def test_set_up_of_a_caller_that_left_while_it_was_queued_is_not_sent(
-    one: One, leave: Callable[..., None]
+    connected: ConnectedRig, leave: Callable[..., None]
 ) -> None:
-    rig, _, trunk, caller = one
+    rig, _, server_peer, caller = connected
     other = rig.caller()
     link, _ = find_link(rig, caller), find_link(rig, other)
     with PausedLoop(rig):
         with wait_until_read(link):
             call = rig.call(caller)
         leave(caller, link, call)
-    assert set_up_calls(collect_messages(other, trunk)) == []
-    set_up_call(rig, trunk, other)  # other callers are served
+    assert set_up_calls(collect_messages(other, server_peer)) == []
+    set_up_call(rig, server_peer, other)  # other callers are served
 
 
 @pytest.mark.parametrize("leave", WAYS_TO_LEAVE)
@@ -199,12 +199,12 @@
     wait_for(lambda: len(known_server.waiting) == 1)
     with PausedLoop(rig) as paused:
         real_dial(*dials[0])
-        trunk = server.accept()
+        server_peer = server.accept()
         paused.wait_for_inbox(1)
         leave(caller, link, call)
-    assert set_up_calls(collect_messages(other, trunk)) == []
+    assert set_up_calls(collect_messages(other, server_peer)) == []
     monkeypatch.setattr(links, "dial", real_dial)
-    set_up_call(rig, trunk, other)
+    set_up_call(rig, server_peer, other)
 
 
 @pytest.mark.parametrize("leave", WAYS_TO_LEAVE)
@@ -215,12 +215,12 @@
     rig.open(list_line(servers[0], "s-1", 0), list_line(servers[1], "s-2", 1))
     first, second, caller, other = servers[0].accept(), servers[1].accept(), rig.caller(), rig.caller()
     link, _ = find_link(rig, caller), find_link(rig, other)
-    trunk, _ = find_server_link(rig, "s-1"), find_server_link(rig, "s-2")
+    server_peer, _ = find_server_link(rig, "s-1"), find_server_link(rig, "s-2")
     call = rig.call(caller)
-    first.hear(SetUp, call)
+    first.receive(SetUp, call)
     with PausedLoop(rig):
-        with wait_until_read(trunk):
-            first.say(Release(call, Reason.FULL, Note.OVERLOAD))
+        with wait_until_read(server_peer):
+            first.send(Release(call, Reason.FULL, Note.OVERLOAD))
         leave(caller, link, call)
     assert set_up_calls(collect_messages(other, second)) == []
     assert set_up_calls(collect_messages(other, first)) == []
@@ -229,34 +229,34 @@
 @pytest.mark.parametrize("leave", WAYS_TO_LEAVE)
 @pytest.mark.parametrize("ending", [Release(0, Reason.INTERRUPTED), Release(0, Reason.FULL, Note.OVERLOAD)])
 def test_retry_that_falls_due_before_the_callers_end_is_processed_is_not_sent(
-    one: One, ending: Release, leave: Callable[..., None]
+    connected: ConnectedRig, ending: Release, leave: Callable[..., None]
 ) -> None:
-    rig, _, trunk, caller = one
+    rig, _, server_peer, caller = connected
     other = rig.caller()
     link, _ = find_link(rig, caller), find_link(rig, other)
     call = rig.call(caller)
-    trunk.hear(SetUp, call)
+    server_peer.receive(SetUp, call)
     with wait_until_read(find_server_link(rig, "s-1")):
         # The retry waits: the line may be taken still, or the server has a skip mark.
-        trunk.say(Release(call, ending.reason, ending.note))
-    assert set_up_calls(collect_messages(other, trunk)) == []
+        server_peer.send(Release(call, ending.reason, ending.note))
+    assert set_up_calls(collect_messages(other, server_peer)) == []
     with PausedLoop(rig) as paused:
         for _ in range(2000):  # before the end in the inbox: timers run between these items
             paused.switch.shared.inbox.put(bulletin.ListUpdate(0, False, ()))
         leave(caller, link, call)
         due = time.monotonic() + 0.3  # longer than the release wait and the skip mark
         wait_for(lambda: time.monotonic() > due)
-    assert call not in set_up_calls(collect_messages(other, trunk))
+    assert call not in set_up_calls(collect_messages(other, server_peer))
 
 
-def test_set_up_in_the_outbox_is_withdrawn_when_its_caller_leaves(one: One) -> None:
-    rig, _, trunk, caller = one
+def test_set_up_in_the_outbox_is_withdrawn_when_its_caller_leaves(connected: ConnectedRig) -> None:
+    rig, _, server_peer, caller = connected
     other = rig.caller()
     find_link(rig, caller), find_link(rig, other)
     assert rig.switch is not None
     shared = rig.switch.shared
     shared.min_aim = 10**12  # no additional connection
-    trunk.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+    server_peer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     known_server = shared.servers["s-1"]
     link = known_server.link
     assert link is not None
@@ -264,10 +264,10 @@
         link.write(codec.encode(Answer(1, b"x" * 4000)))  # until the server's receive buffer is full
     call = rig.call(caller)
     wait_for(lambda: call in known_server.attempts)
-    caller.say(Release(call, Reason.CLEARED))
+    caller.send(Release(call, Reason.CLEARED))
     late = rig.call(other)
     wait_for(lambda: late in known_server.attempts)
-    assert trunk.hear(SetUp).call == late
+    assert server_peer.receive(SetUp).call == late
 
 
 # A server that drains.
@@ -285,12 +285,12 @@
     call = rig.call(caller)
     assert rig.switch is not None
     wait_for(lambda: len(rig.switch.shared.servers["s-1"].waiting) == 1 if rig.switch else False)
-    rig.bulletin.tell(list_line(server, "s-1", health="Terminating"))
+    rig.bulletin.publish(list_line(server, "s-1", health="Terminating"))
     wait_for(lambda: rig.switch is not None and not rig.switch.route.controller.active)
     real_dial(*dials[0])
-    trunk = server.accept()
-    assert caller.hear(Release, call).reason is Reason.CONGESTED
-    assert set_up_calls(collect_messages(caller, trunk)) == []
+    server_peer = server.accept()
+    assert caller.receive(Release, call).reason is Reason.CONGESTED
+    assert set_up_calls(collect_messages(caller, server_peer)) == []
 
 
 # Closing of idle callers' connections.
@@ -298,9 +298,9 @@
 
 @pytest.mark.parametrize("part", ["whole", "half", "in hand"])
 def test_idle_connection_with_unprocessed_input_is_not_closed(
-    one: One, monkeypatch: pytest.MonkeyPatch, part: str
+    connected: ConnectedRig, monkeypatch: pytest.MonkeyPatch, part: str
 ) -> None:
-    rig, _, trunk, caller = one
+    rig, _, server_peer, caller = connected
     link = find_link(rig, caller)
     assert rig.switch is not None
     switch = rig.switch
@@ -334,16 +334,16 @@
             wait_for(lambda: link._complete_by > 0)
     if part == "half":
         caller.sock.sendall(data[9:])
-    trunk.hear(SetUp, 0xF1)
-    trunk.say(Answer(0xF1, b"accept"))
-    caller.hear(Answer, 0xF1)
+    server_peer.receive(SetUp, 0xF1)
+    server_peer.send(Answer(0xF1, b"accept"))
+    caller.receive(Answer, 0xF1)
 
 
 # Turns of the loop, and their clock.
 
 
-def test_turn_processes_at_most_16_items(one: One) -> None:
-    rig, _, _, caller = one
+def test_turn_processes_at_most_16_items(connected: ConnectedRig) -> None:
+    rig, _, _, caller = connected
     find_link(rig, caller)
     assert rig.switch is not None
     switch, processed, turns = rig.switch, 0, list[int]()
@@ -365,46 +365,50 @@
         setattr(switch, "dispatch", count_item)  # noqa: B010
         for _ in range(1000):
             switch.shared.inbox.put(bulletin.ListUpdate(0, False, ()))
-    caller.say(Test(3))
-    caller.hear(TestResult, 3)
+    caller.send(Test(3))
+    caller.receive(TestResult, 3)
     wait_for(lambda: sum(turns) >= 1000)
     assert max(turns) <= 16
 
 
-def test_time_in_the_inbox_counts_against_the_deadline_of_a_call(one: One) -> None:
-    rig, _, trunk, caller = one
+def test_time_in_the_inbox_counts_against_the_deadline_of_a_call(connected: ConnectedRig) -> None:
+    rig, _, server_peer, caller = connected
     link = find_link(rig, caller)
     assert rig.switch is not None
     with PausedLoop(rig):
         with wait_until_read(link):
             call = rig.call(caller, wait_ms=4000)
         received_by = time.monotonic_ns() // 1000
-    trunk.hear(SetUp, call)
+    server_peer.receive(SetUp, call)
     assert rig.switch.shared.open_calls[call].deadline <= received_by + 4_000_000 - module.ANSWER_MARGIN
 
 
-def test_answer_to_an_attempt_that_was_just_given_up_is_not_forwarded(one: One) -> None:
-    rig, _, trunk, caller = one
+def test_answer_to_an_attempt_that_was_just_given_up_is_not_forwarded(connected: ConnectedRig) -> None:
+    rig, _, server_peer, caller = connected
     other = rig.caller()
     link, server_link = find_link(rig, caller), find_server_link(rig, "s-1")
     call = rig.call(caller)
-    trunk.hear(SetUp, call)
+    server_peer.receive(SetUp, call)
     with PausedLoop(rig):
         release_call(caller, link, call)
         with wait_until_read(server_link, 2):
-            trunk.say(Answer(call, b"accept"), Answer(call, b"again"))  # the second comes as a late repeat
-    collect_messages(other, trunk)
-    trunk.say(GroupState(0, LINES))
+            server_peer.send(
+                Answer(call, b"accept"), Answer(call, b"again")
+            )  # the second comes as a late repeat
+    collect_messages(other, server_peer)
+    server_peer.send(GroupState(0, LINES))
     assert not [message for message in collect_messages(other, caller) if isinstance(message, Answer)]
-    assert trunk.hear(Release, call).reason is Reason.CLEARED
+    assert server_peer.receive(Release, call).reason is Reason.CLEARED
 
 
 # The stop of the softswitch.
 
 
 @pytest.mark.parametrize("after_a_test", [False, True])
-def test_set_up_received_just_before_the_stop_is_answered(one: One, after_a_test: bool) -> None:
-    rig, _, trunk, caller = one
+def test_set_up_received_just_before_the_stop_is_answered(
+    connected: ConnectedRig, after_a_test: bool
+) -> None:
+    rig, _, server_peer, caller = connected
     link = find_link(rig, caller)
     assert rig.switch is not None
     switch = rig.switch
@@ -414,10 +418,10 @@
 
     with PausedLoop(rig, stop), wait_until_read(link, 1 + after_a_test):
         if after_a_test:
-            caller.say(Test(4))
+            caller.send(Test(4))
         call = rig.call(caller)
-    trunk.hear(SetUp, call)
-    trunk.say(Answer(call, b"accept"))
-    caller.hear(Answer, call)
+    server_peer.receive(SetUp, call)
+    server_peer.send(Answer(call, b"accept"))
+    caller.receive(Answer, call)
     rig.thread.join(TIMEOUT_S)
     assert not rig.thread.is_alive()
--- a/tests/test_defences.py
+++ b/tests/test_defences.py
@@ -53,12 +53,12 @@
     for number in range(1, 30):
         host.new_call(number)
         host.new_call(number + 1000)
-        host.call_stands(number, "s0", took=40 * MS)
-        host.call_stands(number + 1000, "s0", took=40 * MS)
+        host.call_stands(number, "s0", delay=40 * MS)
+        host.call_stands(number + 1000, "s0", delay=40 * MS)
     assert server.window > 3
     for number in range(100, 200):
         host.new_call(number)
-        host.call_stands(number, "s0", took=900 * MS)
+        host.call_stands(number, "s0", delay=900 * MS)
     assert server.window == MIN_WINDOW
 
 
@@ -82,7 +82,7 @@
 def test_simultaneous_resets_of_many_calls_are_one_failure() -> None:
     host = Host(servers=1)
     for number in range(100, 130):
-        host.attempt_ended(number, "s0", api.Outcome.RESET, over=True)
+        host.attempt_ended(number, "s0", api.Outcome.RESET, call_over=True)
     assert host.controller.servers["s0"].failures == 1
 
 
@@ -109,11 +109,11 @@
     server.min_time, server.failures, server.sampled_at = 50.0 * MS, 2, host.now
     server.rate = host.controller.rate = 9.0
     host.new_call(1)
-    host.call_stands(1, "s0", took=400 * MS)
+    host.call_stands(1, "s0", delay=400 * MS)
     assert server.cold_since == host.now
     host.now += 3 * SECOND
     host.new_call(2)
-    host.call_stands(2, "s0", took=60 * MS)
+    host.call_stands(2, "s0", delay=60 * MS)
     assert server.cold_since == 0
 
 
@@ -128,7 +128,7 @@
         for number in range(1, 200):
             count += "s1" in sent_servers(host.new_call(number, first=1))
             if number in host.controller.calls:
-                host.call_stands(number, "s1", took=300 * MS)
+                host.call_stands(number, "s1", delay=300 * MS)
             host.now += 10 * MS
     assert 20 / 5 <= count <= 20 * 2
 
@@ -225,7 +225,7 @@
         {"waiting": -1.0, "can_take": 20.0},
         {},
     ):
-        host.attempt_ended(1, "s0", api.Outcome.ENDED, over=True, report=report)
+        host.attempt_ended(1, "s0", api.Outcome.ENDED, call_over=True, report=report)
     assert server.samples == []
 
 
@@ -292,7 +292,7 @@
         host.controller.servers["s0"].rho = 1.9
         passed += bool(sent_servers(host.new_call(number)))
         host.handle(api.CallerLeft(number))
-        host.attempt_ended(number, "s0", api.Outcome.ENDED, over=True)
+        host.attempt_ended(number, "s0", api.Outcome.ENDED, call_over=True)
     assert 440 < passed < 560  # the share is still 1
 
 
@@ -338,21 +338,21 @@
     server = host.controller.servers["s0"]
     host.new_call(1)
     host.now += 1500 * MS
-    host.attempt_ended(77, "s0", api.Outcome.ENDED, over=True, report={"wait_ms": 900.0})
+    host.attempt_ended(77, "s0", api.Outcome.ENDED, call_over=True, report={"wait_ms": 900.0})
     assert 1 in server.open  # explained by a queue of 0.9 s and a late report
     assert api.Cancel(1, 0) in host.attempt_ended(
-        78, "s0", api.Outcome.ENDED, over=True, report={"wait_ms": 5.0}
+        78, "s0", api.Outcome.ENDED, call_over=True, report={"wait_ms": 5.0}
     )
     assert server.open == {}
     assert server.failures == 0
 
 
-@pytest.mark.parametrize(("took", "lost"), [(20 * MS, True), (40 * MS, False), (0, False)])
-def test_answered_probe_shows_which_earlier_set_ups_are_lost(took: int, lost: bool) -> None:
+@pytest.mark.parametrize(("delay", "lost"), [(20 * MS, True), (40 * MS, False), (0, False)])
+def test_answered_probe_shows_which_earlier_set_ups_are_lost(delay: int, lost: bool) -> None:
     host = Host()
     host.new_call(1)
     host.advance(100 * MS)
-    actions = host.handle(api.ProbeAnswered("s0", True, took, {}))  # 0: an unsolicited report
+    actions = host.handle(api.ProbeAnswered("s0", True, delay, {}))  # 0: an unsolicited report
     assert (api.Cancel(1, 0) in actions) is lost
 
 
@@ -416,7 +416,7 @@
 def test_busy_number_leaves_no_sample_and_is_not_retried() -> None:
     host = Host(servers=2)
     host.new_call(1)
-    assert isinstance(host.attempt_ended(1, "s0", api.Outcome.ERROR, busy=True)[-1], api.Refuse)
+    assert isinstance(host.attempt_ended(1, "s0", api.Outcome.ERROR, callee_busy=True)[-1], api.Refuse)
     assert host.controller.servers["s0"].samples == []
 
 
@@ -493,9 +493,9 @@
     host = Host(servers=1)
     server = host.controller.servers["s0"]
     server.rate = 3.0
-    high_rate_target = host.controller._target_time(server)
+    high_rate_target = host.controller._get_target_time(server)
     server.rate = 0.3
-    assert host.controller._target_time(server) < high_rate_target / 2
+    assert host.controller._get_target_time(server) < high_rate_target / 2
 
 
 def test_one_set_up_at_a_time_is_in_flight_where_samples_are_few() -> None:
@@ -513,13 +513,13 @@
         host.report_lines(s0=4000, s1=200)
         host.update_list(server_entry(0), server_entry(1, started=host.now))
         server = host.controller.servers["s1"]
-        assert not host.controller._ready(server)
+        assert not host.controller._fits(server)
         host.controller.now += host.settings.ramp_time
         if quick:
             server.alive_at, server.rho = host.now, 0.5
-        assert host.controller._ready(server) == quick
+        assert host.controller._fits(server) == quick
         host.controller.now += host.settings.ramp_time
-        assert host.controller._ready(server)
+        assert host.controller._fits(server)
 
 
 def test_route_list_limits_and_orders_the_servers_of_a_call() -> None:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -24,7 +24,7 @@
 def test_idle_callers_leave_descriptors_for_the_bulletin_and_for_servers(tmp_path: Path) -> None:
     conf = json.loads(json.dumps(CONF))
     conf["classes"][0]["name"] = "voice"
-    reserved = socket.socket()  # holds the bulletin's address: nobody listens there yet
+    reserved = socket.socket()  # holds the bulletin's address: nothing listens there yet
     reserved.bind(("127.0.0.1", 0))
     bulletin = f"127.0.0.1:{reserved.getsockname()[1]}"
     config = {
@@ -55,14 +55,14 @@
         reserved.close()
         server, bulletin_server = Server(), Bulletin(int(bulletin.rsplit(":", 1)[1]))
         bulletin_server.number = 0  # the softswitch starts without a list
-        bulletin_server.tell(list_line(server, "s-1"), whole=True)
-        trunk = server.accept()  # the list was read, and its server connected to
+        bulletin_server.publish(list_line(server, "s-1"), complete=True)
+        server_peer = server.accept()  # the list was read, and its server connected to
         caller = Peer(socket.create_connection((host, int(port)), timeout=TIMEOUT_S))
-        caller.say(Test(1), SetUp(0xD1, "voice", 5000, "7", b"offer", first_choice=0))
-        assert caller.hear(TestResult, 1).passed
-        trunk.hear(SetUp, 0xD1)
-        trunk.say(Answer(0xD1, b"accept"))
-        caller.hear(Answer, 0xD1)
+        caller.send(Test(1), SetUp(0xD1, "voice", 5000, "7", b"offer", first_choice=0))
+        assert caller.receive(TestResult, 1).passed
+        server_peer.receive(SetUp, 0xD1)
+        server_peer.send(Answer(0xD1, b"accept"))
+        caller.receive(Answer, 0xD1)
     finally:
         for sock in idle:
             sock.close()
--- a/tests/test_number_stories.py
+++ b/tests/test_number_stories.py
@@ -65,7 +65,7 @@
 
     def dial(self, caller: Peer, number: str, wait_ms: int = 5000, first_choice: int = 0) -> int:
         self.serial += 1
-        caller.say(SetUp(self.serial, "voice", wait_ms, number, b"offer", first_choice=first_choice))
+        caller.send(SetUp(self.serial, "voice", wait_ms, number, b"offer", first_choice=first_choice))
         return self.serial
 
     def swap_table(self, table: str) -> None:
@@ -106,34 +106,34 @@
     first, _ = rig.open_with_table(table_text())
     caller = rig.caller()
     started = time.monotonic()
-    refusal = caller.hear(Release, rig.dial(caller, dialled))
+    refusal = caller.receive(Release, rig.dial(caller, dialled))
     assert time.monotonic() - started < 2  # far less than the caller's wait of five seconds
     assert (refusal.reason, bool(refusal.stay_away_ms)) == (reason, reason is Reason.CONGESTED)
     call = rig.dial(caller, "0112345")
-    assert first.hear(SetUp).call == call  # no server received the refused call
+    assert first.receive(SetUp).call == call  # no server received the refused call
 
 
 def test_only_the_servers_of_the_route_are_tried(rig: NumberRig) -> None:
     _, second = rig.open_with_table(table_text())
     caller = rig.caller()
     call = rig.dial(caller, "0212345", first_choice=0)  # the caller prefers 0, the route has only 1
-    assert second.hear(SetUp).call == call
-    second.say(Release(call, Reason.FULL, Note.OVERLOAD))
-    second.hear(SetUp, call)  # after its skip mark has ended; never the other server
-    second.say(Answer(call, b"accept"))
-    caller.hear(Answer, call)
+    assert second.receive(SetUp).call == call
+    second.send(Release(call, Reason.FULL, Note.OVERLOAD))
+    second.receive(SetUp, call)  # after its skip mark has ended; never the other server
+    second.send(Answer(call, b"accept"))
+    caller.receive(Answer, call)
 
 
 def test_route_sets_the_order_of_its_servers(rig: NumberRig) -> None:
     first, second = rig.open_with_table(table_text())
     caller = rig.caller()
     call = rig.dial(caller, "0112345", first_choice=1)
-    sent = first.hear(SetUp)
+    sent = first.receive(SetUp)
     assert (sent.call, sent.number) == (call, "0112345")  # the number is passed on as dialled
-    first.say(Release(call, Reason.FULL, Note.OVERLOAD))
-    second.hear(SetUp, call)
-    second.say(Answer(call, b"accept"))
-    caller.hear(Answer, call)
+    first.send(Release(call, Reason.FULL, Note.OVERLOAD))
+    second.receive(SetUp, call)
+    second.send(Answer(call, b"accept"))
+    caller.receive(Answer, call)
 
 
 def test_schedule_change_does_not_reroute_a_call_in_set_up(
@@ -145,38 +145,38 @@
     first, second = rig.open_with_table(table_text())
     caller = rig.caller()
     call = rig.dial(caller, "0512345")
-    first.hear(SetUp, call)
+    first.receive(SetUp, call)
     clock[0] = NIGHT
     other = rig.dial(caller, "0512345")
-    second.hear(SetUp, other)
-    second.say(Answer(other, b"accept"))
-    second.say(Release(call, Reason.FULL))  # for a call that this server does not have: ignored
-    first.say(Release(call, Reason.INTERRUPTED))
-    repeated = first.hear(SetUp, call)  # retried after the pause, still by its first route
+    second.receive(SetUp, other)
+    second.send(Answer(other, b"accept"))
+    second.send(Release(call, Reason.FULL))  # for a call that this server does not have: ignored
+    first.send(Release(call, Reason.INTERRUPTED))
+    repeated = first.receive(SetUp, call)  # retried after the pause, still by its first route
     assert repeated.call == call
-    first.say(Answer(call, b"accept"))
-    caller.hear(Answer, call)
+    first.send(Answer(call, b"accept"))
+    caller.receive(Answer, call)
 
 
 def test_calls_keep_their_table_after_a_swap_and_the_last_one_frees_it(rig: NumberRig) -> None:
     first, second = rig.open_with_table(table_text())
     caller = rig.caller()
     call = rig.dial(caller, "0112345")
-    first.hear(SetUp, call)
+    first.receive(SetUp, call)
     rig.swap_table(table_text(' prefix "601" route="b"\n', version="2"))
     wait_for(lambda: rig.counters["number_tables_swapped"] == 1)
     other = rig.dial(caller, "0112345")
-    second.hear(SetUp, other)
-    second.say(Answer(other, b"accept"))
-    caller.hear(Answer, other)
+    second.receive(SetUp, other)
+    second.send(Answer(other, b"accept"))
+    caller.receive(Answer, other)
     assert rig.stage is not None
     assert rig.stage.counts()["number_tables_alive"] == 2
-    first.say(Release(call, Reason.INTERRUPTED))
-    first.hear(SetUp, call)  # by the table under which it was taken in
-    first.say(Answer(call, b"accept"))
-    caller.hear(Answer, call)
-    first.say(Release(call, Reason.CLEARED))
-    caller.hear(Release, call)
+    first.send(Release(call, Reason.INTERRUPTED))
+    first.receive(SetUp, call)  # by the table under which it was taken in
+    first.send(Answer(call, b"accept"))
+    caller.receive(Answer, call)
+    first.send(Release(call, Reason.CLEARED))
+    caller.receive(Release, call)
     wait_for(lambda: rig.stage is not None and rig.stage.counts()["number_tables_alive"] == 1)
 
 
@@ -207,7 +207,7 @@
     wait_for(lambda: "number table refused, version 1 stays in use" in caplog.text)  # logged after counting
     assert reason in caplog.text
     call = rig.dial(caller, "0112345")
-    first.hear(SetUp, call)
+    first.receive(SetUp, call)
     rig.swap_table(table_text(version="3"))
     wait_for(lambda: rig.counters["number_tables_swapped"] == 1)
 
@@ -241,14 +241,14 @@
     started = time.monotonic()
     call = rig.dial(caller, "0123")
     if behaviour != "well" and fallback == "refuse":
-        assert caller.hear(Release, call).reason is Reason.UNALLOCATED
+        assert caller.receive(Release, call).reason is Reason.UNALLOCATED
         assert time.monotonic() - started < 3  # the caller would wait for five
         return
     taker = second if behaviour == "well" else first  # ported to 60299, or routed as dialled
-    assert taker.hear(SetUp, call).number == "0123"
+    assert taker.receive(SetUp, call).number == "0123"
     assert time.monotonic() - started < 3
-    taker.say(Answer(call, b"accept"))
-    caller.hear(Answer, call)
+    taker.send(Answer(call, b"accept"))
+    caller.receive(Answer, call)
 
 
 def test_caller_that_cancels_during_its_look_up_gets_no_further_message(
@@ -259,15 +259,15 @@
     caller = rig.caller()
     call = rig.dial(caller, "0123")
     wait_for(lambda: len(enum_server.held_answers) == 1)
-    caller.say(Release(call, Reason.CLEARED))
+    caller.send(Release(call, Reason.CLEARED))
     wait_for(lambda: rig.counters["callers_left"] == 1)
     enum_server.behaviour = "well"
     enum_server.send_held()
     other = rig.dial(caller, "0123")  # no call waited for the answer any more, but it was cached
-    assert second.hear(SetUp).call == other
-    second.say(Answer(other, b"accept"))
-    caller.hear(Answer, other)
-    assert not [message for message in [*caller.read, *first.read] if message.call == call]
+    assert second.receive(SetUp).call == other
+    second.send(Answer(other, b"accept"))
+    caller.receive(Answer, other)
+    assert not [message for message in [*caller.received, *first.received] if message.call == call]
     assert len(enum_server.queried_numbers) <= 2
 
 
@@ -277,10 +277,10 @@
     caller = rig.caller()
     started = time.monotonic()
     call = rig.dial(caller, "0123", wait_ms=2000)
-    first.hear(SetUp, call)  # after a quarter of the caller's wait, not the table's minute
+    first.receive(SetUp, call)  # after a quarter of the caller's wait, not the table's minute
     assert time.monotonic() - started < 1.5
-    first.say(Answer(call, b"accept"))
-    caller.hear(Answer, call)
+    first.send(Answer(call, b"accept"))
+    caller.receive(Answer, call)
 
 
 def test_swaps_may_turn_look_ups_off_and_on_while_some_are_outstanding(
@@ -292,16 +292,16 @@
     call = rig.dial(caller, "0123")
     wait_for(lambda: len(enum_server.held_answers) == 1)
     rig.swap_table(table_text(' prefix "601" route="b"\n', version="2"))
-    first.hear(SetUp, call)  # its query failed with the client; the fallback of its own table applies
-    first.say(Answer(call, b"accept"))
-    caller.hear(Answer, call)
+    first.receive(SetUp, call)  # its query failed with the client; the fallback of its own table applies
+    first.send(Answer(call, b"accept"))
+    caller.receive(Answer, call)
     other = rig.dial(caller, "0123")
-    second.hear(SetUp, other)
+    second.receive(SetUp, other)
     enum_server.behaviour = "well"
     rig.swap_table(table_with_look_ups(enum_server))
     wait_for(lambda: rig.counters["number_tables_swapped"] == 2)
     third = rig.dial(caller, "0123")
-    second.hear(SetUp, third)  # ported
+    second.receive(SetUp, third)  # ported
     assert enum_server.queried_numbers == ["60123", "60123"]
 
 
@@ -350,13 +350,13 @@
         open_calls.discard(call)
         if draw < 0.25:
             self.checker.record_attempt_end(call, self.name, "failed")
-            peer.say(Release(call, Reason.FULL, Note.OVERLOAD))
+            peer.send(Release(call, Reason.FULL, Note.OVERLOAD))
         elif draw < 0.35:
             self.checker.record_attempt_end(call, self.name, "reset")
-            peer.say(Release(call, Reason.INTERRUPTED))
+            peer.send(Release(call, Reason.INTERRUPTED))
         else:
             self.checker.record_attempt_end(call, self.name, "stands")
-            peer.say(Answer(call, b"accept"), Release(call, Reason.CLEARED))
+            peer.send(Answer(call, b"accept"), Release(call, Reason.CLEARED))
 
 
 def test_every_call_has_one_outcome_while_tables_are_swapped_under_load(
@@ -392,7 +392,7 @@
                         answered.add(message.call)
                         checker.record_final(message.call, "stands")
                     elif isinstance(message, Release):
-                        caller.say(ReleaseComplete(message.call))
+                        caller.send(ReleaseComplete(message.call))
                         if message.call not in answered:
                             checker.record_final(message.call, message.reason.value)
         except OSError:
@@ -421,10 +421,10 @@
         allowed = {"011": {"s-0", "s-1"}, "012": {"s-0", "s-1"}, "021": {"s-1"}}.get(prefix, set())
         checker.allowed_servers[call] = frozenset(allowed)
         checker.record_set_up(call, max_wait_ms / 1000)
-        caller.say(SetUp(call, "voice", max_wait_ms, f"{prefix}{index:04d}", b"offer", first_choice=0))
+        caller.send(SetUp(call, "voice", max_wait_ms, f"{prefix}{index:04d}", b"offer", first_choice=0))
         if rng.random() < 0.1:
             checker.record_left(call)
-            caller.say(Release(call, Reason.CLEARED))
+            caller.send(Release(call, Reason.CLEARED))
         time.sleep(0.005)
     wait_for(lambda: rig.counters["taken_in"] == calls)  # otherwise the last calls may still be unread
     wait_for(lambda: rig.switch is not None and not rig.switch.shared.open_calls)
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -69,7 +69,7 @@
         (State.PAUSED, draining.HEALTH_CHECK_DELAY, IDLE, True),
         (State.PAUSED, 9 * SECOND, BUSY, False),
         (State.PAUSED, 3 * SECOND, KEPT_FOR_RELEASES, False),
-        (State.PAUSED, draining.MAX_KEEP_LAST, KEPT_FOR_RELEASES, True),
+        (State.PAUSED, draining.MAX_RELEASE_WAIT, KEPT_FOR_RELEASES, True),
         (State.PAUSED, 9 * SECOND, UNREAD, False),
         (State.PAUSED, SECOND, NEW, False),
         (State.PAUSED, SECOND, UNUSED, True),
--- a/tests/test_operation_stories.py
+++ b/tests/test_operation_stories.py
@@ -41,8 +41,8 @@
         return next(int(match.group(1)) for match in matches if match)
 
     def is_ready(self, peer: Peer) -> bool:
-        peer.say(Test(9))
-        result = peer.hear(TestResult, 9)
+        peer.send(Test(9))
+        result = peer.receive(TestResult, 9)
         assert isinstance(result, TestResult)
         return result.passed
 
@@ -72,27 +72,29 @@
     rig.open()
     assert rig.command("STATUS")[0].startswith("FAILURE starting")
     server = Server()
-    rig.bulletin.tell(list_line(server, "s-1"), whole=True)
+    rig.bulletin.publish(list_line(server, "s-1"), complete=True)
     wait_for(lambda: rig.command("STATUS") == ["SUCCESS serving"])
 
 
 def test_each_request_counts_once_by_class_and_disposition(connected: ConnectedRig) -> None:
-    rig, _, trunk, caller = connected
-    established = set_up_call(rig, trunk, caller)
+    rig, _, server_peer, caller = connected
+    established = set_up_call(rig, server_peer, caller)
     failed = rig.call(caller)
     for _ in range(2):
-        trunk.hear(SetUp, failed)
-        trunk.say(Release(failed, Reason.FAULT))
-    caller.hear(Release, failed)
+        server_peer.receive(SetUp, failed)
+        server_peer.send(Release(failed, Reason.FAULT))
+    caller.receive(Release, failed)
     refused = rig.call(caller, klass="video")
-    trunk.hear(SetUp, refused)
+    server_peer.receive(SetUp, refused)
     assert rig.read_metric("svc_outstanding") == 2
-    trunk.say(Release(refused, Reason.BUSY, Note.LINES_BUSY))
-    caller.hear(Release, refused)
+    server_peer.send(Release(refused, Reason.BUSY, Note.LINES_BUSY))
+    caller.receive(Release, refused)
     cancelled = rig.call(caller)  # released by its caller: no final answer, so no disposition
-    trunk.hear(SetUp, cancelled)
-    caller.say(Release(cancelled, Reason.CLEARED), SetUp(0xBAD, "voice", 0, "7", b"offer"))  # wait 0: invalid
-    caller.hear(Release, 0xBAD)
+    server_peer.receive(SetUp, cancelled)
+    caller.send(
+        Release(cancelled, Reason.CLEARED), SetUp(0xBAD, "voice", 0, "7", b"offer")
+    )  # wait 0: invalid
+    caller.receive(Release, 0xBAD)
     assert [
         rig.read_metric(f'svc_results{{service="voice",disposition="{disposition}"}}')
         for disposition in DISPOSITIONS
@@ -103,19 +105,19 @@
     ] == [0, 1, 0]
     assert rig.read_metric("svc_forwards") == 5
     assert rig.read_metric("svc_outstanding") == 1  # the established call
-    trunk.say(Release(established, Reason.CLEARED))
+    server_peer.send(Release(established, Reason.CLEARED))
     wait_for(lambda: rig.read_metric("svc_outstanding") == 0)
     assert rig.read_metric("svc_discovered") == 1
     assert rig.command("METRICS")[-1] == "EOT"
 
 
 def test_an_avoided_server_counts_as_ejected(connected: ConnectedRig) -> None:
-    rig, _, trunk, caller = connected
+    rig, _, server_peer, caller = connected
     assert rig.read_metric("svc_ejected") == 0
     call = rig.call(caller)
     for _ in range(2):
-        trunk.hear(SetUp, call)
-        trunk.say(Release(call, Reason.FULL, Note.OVERLOAD))
+        server_peer.receive(SetUp, call)
+        server_peer.send(Release(call, Reason.FULL, Note.OVERLOAD))
     wait_for(lambda: rig.read_metric("svc_ejected") == 1)
 
 
@@ -123,54 +125,54 @@
     connected: ConnectedRig, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(draining, "MIN_IDLE_UNUSED", 0)
-    rig, _, trunk, busy = connected
+    rig, _, server_peer, busy = connected
     idle, tester = rig.caller(), rig.caller()
-    released, hung_up = set_up_call(rig, trunk, idle), set_up_call(rig, trunk, idle)
+    released, hung_up = set_up_call(rig, server_peer, idle), set_up_call(rig, server_peer, idle)
     call = rig.call(busy)
-    trunk.hear(SetUp, call)
+    server_peer.receive(SetUp, call)
     assert rig.is_ready(tester)
     assert rig.command("PAUSE") == ["SUCCESS draining"]
     assert rig.command("PAUSE") == ["SUCCESS drained already"]
     assert not rig.is_ready(tester)
     assert rig.command("STATUS") == ["FAILURE paused"]
-    idle.say(Release(hung_up, Reason.CLEARED))
-    trunk.say(Release(released, Reason.CLEARED))
-    idle.hear(Release, released)  # the caller would not connect again to get it
-    assert idle.ends()
-    trunk.say(Answer(call, b"accept"))
-    busy.hear(Answer, call)  # a call already taken in is answered,
-    trunk.say(Release(call, Reason.CLEARED))
-    busy.hear(Release, call)  # its release is delivered,
-    assert busy.ends()  # and only then is its connection closed
+    idle.send(Release(hung_up, Reason.CLEARED))
+    server_peer.send(Release(released, Reason.CLEARED))
+    idle.receive(Release, released)  # the caller would not connect again to get it
+    assert idle.wait_closed()
+    server_peer.send(Answer(call, b"accept"))
+    busy.receive(Answer, call)  # a call already taken in is answered,
+    server_peer.send(Release(call, Reason.CLEARED))
+    busy.receive(Release, call)  # its release is delivered,
+    assert busy.wait_closed()  # and only then is its connection closed
     # With an idle limit of 0, the newcomer could be closed between its connect and its set-up.
     with PausedLoop(rig):
         newcomer = rig.caller()
         late = rig.call(newcomer)
-    trunk.hear(SetUp, late)  # a set-up that came before the load balancer knew is served
-    trunk.say(Answer(late, b"accept"))
-    newcomer.hear(Answer, late)
+    server_peer.receive(SetUp, late)  # a set-up that came before the load balancer knew is served
+    server_peer.send(Answer(late, b"accept"))
+    newcomer.receive(Answer, late)
     assert rig.command("RESUME") == ["SUCCESS serving"]
     assert rig.is_ready(rig.caller())
-    set_up_call(rig, trunk, rig.caller())
+    set_up_call(rig, server_peer, rig.caller())
 
 
 def test_set_ups_on_a_busy_connection_are_refused_while_paused(
     connected: ConnectedRig, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setitem(draining.DRAIN_PLANS, State.PAUSED, draining.DrainPlan(0, 0))
-    rig, _, trunk, busy = connected
+    rig, _, server_peer, busy = connected
     call = rig.call(busy)
-    trunk.hear(SetUp, call)
+    server_peer.receive(SetUp, call)
     rig.command("PAUSE")
     assert rig.switch is not None
     wait_for(lambda: rig.switch is not None and rig.switch.operation.applied_state is State.PAUSED)
-    refused = busy.hear(Release, rig.call(busy))
+    refused = busy.receive(Release, rig.call(busy))
     assert refused.reason is Reason.CONGESTED
     assert refused.stay_away_ms > 0
-    trunk.say(Answer(call, b"accept"))
-    busy.hear(Answer, call)
-    trunk.say(Release(call, Reason.CLEARED))
-    assert busy.ends()
+    server_peer.send(Answer(call, b"accept"))
+    busy.receive(Answer, call)
+    server_peer.send(Release(call, Reason.CLEARED))
+    assert busy.wait_closed()
 
 
 def test_a_paused_softswitch_can_be_stopped(connected: ConnectedRig) -> None:
@@ -201,7 +203,7 @@
 
 
 def test_hundreds_of_idle_clients_do_not_delay_a_reply(connected: ConnectedRig) -> None:
-    rig, _, trunk, _ = connected
+    rig, _, server_peer, _ = connected
     address = links.parse_address(rig.operators)
     silent = [socket.create_connection(address, timeout=TIMEOUT_S) for _ in range(300)]
     try:
@@ -213,7 +215,7 @@
         assert rig.switch is not None
         assert rig.switch.operation.operator_server is not None
         assert len(rig.switch.operation.operator_server._connections) <= operator_server.MAX_CONNECTIONS
-        set_up_call(rig, trunk, rig.caller())
+        set_up_call(rig, server_peer, rig.caller())
     finally:
         for sock in silent:
             sock.close()
@@ -256,9 +258,9 @@
         result = runner.invoke(main, [command], env=environment)
         assert (result.exit_code, result.output.splitlines()[0]) == (code, text)
     assert "EOT" not in runner.invoke(main, ["metrics"], env=environment).output
-    nobody = Server()
-    nobody.sock.close()
-    assert runner.invoke(main, ["status", "--at", nobody.dial]).exit_code == EXIT_NO_ANSWER
+    closed_server = Server()
+    closed_server.sock.close()
+    assert runner.invoke(main, ["status", "--at", closed_server.dial]).exit_code == EXIT_NO_ANSWER
 
 
 def test_an_inherited_socket_is_shared_and_outlives_its_process(
@@ -268,9 +270,9 @@
     monkeypatch.setenv("ROUTER_ACCEPT_FD", str(os.dup(listen_socket.fileno())))
     server = Server()
     rig.open(list_line(server, "s-1"))
-    trunk, caller = server.accept(), rig.caller()
+    server_peer, caller = server.accept(), rig.caller()
     assert caller.sock.getpeername() == listen_socket.getsockname()
-    set_up_call(rig, trunk, caller)
+    set_up_call(rig, server_peer, caller)
     assert rig.switch is not None
     rig.switch.listener.close()
     wait_for(lambda: rig.switch is not None and rig.switch.listener._sock.fileno() < 0)
@@ -286,7 +288,7 @@
 def test_a_set_up_sent_over_two_seconds_is_served_and_half_a_one_times_out(
     connected: ConnectedRig,
 ) -> None:
-    rig, _, trunk, slow = connected
+    rig, _, server_peer, slow = connected
     incomplete, started = rig.caller(), time.monotonic()
     message = codec.encode(SetUp(0x510, "voice", 5000, "7", b"offer", first_choice=0))
     incomplete.sock.sendall(message[:9])
@@ -294,8 +296,8 @@
         slow.sock.sendall(part)
         if part is not message[20:]:
             time.sleep(1.0 if len(part) == 1 else 0.9)
-    trunk.hear(SetUp, 0x510)
-    trunk.say(Answer(0x510, b"accept"))
-    slow.hear(Answer, 0x510)
-    assert incomplete.ends()
+    server_peer.receive(SetUp, 0x510)
+    server_peer.send(Answer(0x510, b"accept"))
+    slow.receive(Answer, 0x510)
+    assert incomplete.wait_closed()
     assert time.monotonic() - started < 3.5  # the limit is 3 s, the rest is for a busy machine
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -79,7 +79,7 @@
         server, attempt = self.in_flight.pop(call)
         if outcome in RELEASED:
             self.released[call] = self.host.now + self.host.settings.release_wait
-        self.host.attempt_ended(call, server, outcome, attempt, over=call in self.over)
+        self.host.attempt_ended(call, server, outcome, attempt, call_over=call in self.over)
         self.check()
 
     def end_cancelled(self) -> None:
@@ -178,7 +178,7 @@
                 if "s1" in sent_servers(host.new_call(number, first=1)):
                     sends.append(host.now)
                     if rng.random() < good:
-                        host.call_stands(number, "s1", took=30 * MS)
+                        host.call_stands(number, "s1", delay=30 * MS)
                     else:
                         host.attempt_ended(number, "s1", api.Outcome.FULL)
             host.advance(100 * MS)
@@ -253,7 +253,7 @@
                 if isinstance(action, api.Send) and action.server == "s1":
                     sends.append(sent)
                     if rng.random() < good:
-                        host.call_stands(action.call, "s1", took=30 * MS)
+                        host.call_stands(action.call, "s1", delay=30 * MS)
                     else:
                         host.attempt_ended(action.call, "s1", api.Outcome.FULL)
             host.action_log.clear()
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -200,12 +200,12 @@
         item["slo_ns"] += 20 * 10**9  # a slow test must not count as a silent connection
     rig.open(list_line(server, "s-1"), replaced=conf)
     try:
-        trunk, caller = server.accept(), rig.caller()
+        server_peer, caller = server.accept(), rig.caller()
         for item in conf["classes"]:
             call = rig.call(caller, wait_ms=1000, klass=item["name"])
-            assert trunk.hear(SetUp, call).klass == item["name"]
-            trunk.say(Answer(call, b"accept"))
-            caller.hear(Answer, call)
+            assert server_peer.receive(SetUp, call).klass == item["name"]
+            server_peer.send(Answer(call, b"accept"))
+            caller.receive(Answer, call)
     finally:
         rig.stop()
     assert rig.switch is not None
--- a/tests/test_setup_fields.py
+++ b/tests/test_setup_fields.py
@@ -107,10 +107,10 @@
     """Set up and answer a call with these fields; returns the set-up as the server received it."""
     _, server_peer, caller, _ = rig_with_tenants
     caller.sock.sendall(encode_with_fields(figures, tenant, call))
-    set_up = server_peer.hear(SetUp, call)
+    set_up = server_peer.receive(SetUp, call)
     assert isinstance(set_up, SetUp)
-    server_peer.say(Answer(call, b"accept"))
-    caller.hear(Answer, call)
+    server_peer.send(Answer(call, b"accept"))
+    caller.receive(Answer, call)
     return set_up
 
 
--- a/tests/test_softswitch.py
+++ b/tests/test_softswitch.py
@@ -56,25 +56,25 @@
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
         self.splitter = codec.Splitter()
-        self.read: list[Message] = []
+        self.received: list[Message] = []
         sock.settimeout(TIMEOUT_S)
 
-    def say(self, *messages: Message) -> None:
+    def send(self, *messages: Message) -> None:
         self.sock.sendall(b"".join(codec.encode(message) for message in messages))
 
-    def hear(self, kind: type[Any], call: int | None = None) -> Any:
+    def receive(self, kind: type[Any], call: int | None = None) -> Any:
         """The next message of this kind (and of this call); messages before it are dropped."""
         while True:
-            for index, message in enumerate(self.read):
+            for index, message in enumerate(self.received):
                 if isinstance(message, kind) and call in (None, message.call):
-                    del self.read[: index + 1]
+                    del self.received[: index + 1]
                     return message
             data = self.sock.recv(65536)
             assert data, f"connection closed while waiting for {kind.__name__}"
-            self.read = [*self.read, *self.splitter.feed(data)]
+            self.received = [*self.received, *self.splitter.feed(data)]
 
-    def ends(self) -> bool:
-        """Read until the softswitch closes or resets the connection; raises TimeoutError if it does not."""
+    def wait_closed(self) -> bool:
+        """Wait until the softswitch closes or resets the connection; raises TimeoutError if it does not."""
         try:
             while self.sock.recv(65536):
                 pass
@@ -102,7 +102,7 @@
     def accept(self) -> Peer:
         peer = Peer(self.sock.accept()[0])
         if self.greet:
-            peer.say(GroupState(0, LINES))
+            peer.send(GroupState(0, LINES))
         return peer
 
 
@@ -120,10 +120,10 @@
         self.number = 1  # of the last event; softswitches usually start from this one
         threading.Thread(target=self.serve, daemon=True).start()
 
-    def tell(self, *hosts: dict[str, Any], whole: bool = False) -> None:
+    def publish(self, *hosts: dict[str, Any], complete: bool = False) -> None:
         with self.changed:
             self.number += 1
-            roster = {"seq": 1, "whole": whole, "hosts": list(hosts)}
+            roster = {"seq": 1, "whole": complete, "hosts": list(hosts)}
             self.events.append({"no": self.number, "roster": roster})
             self.changed.notify_all()
 
@@ -144,9 +144,9 @@
 
 
 def list_line(
-    server: Server, host: str, number: int = 0, health: str = "Ready", born: int = 0
+    server: Server, host: str, number: int = 0, health: str = "Ready", born_ms: int = 0
 ) -> dict[str, Any]:
-    return {"host": host, "dial": server.dial, "block": number, "health": health, "born_ms": born}
+    return {"host": host, "dial": server.dial, "block": number, "health": health, "born_ms": born_ms}
 
 
 class Rig:
@@ -189,7 +189,7 @@
 
     def call(self, caller: Peer, wait_ms: int = 5000, klass: str = "voice") -> int:
         self.serial += 1
-        caller.say(SetUp(self.serial, klass, wait_ms, "7f3a9c21e0b4d655", b"offer", first_choice=0))
+        caller.send(SetUp(self.serial, klass, wait_ms, "7f3a9c21e0b4d655", b"offer", first_choice=0))
         return self.serial
 
     def stop(self) -> None:
@@ -197,9 +197,9 @@
             self.switch.stop_requested = True
             self.thread.join(TIMEOUT_S)
             assert not self.thread.is_alive()
-            self.rest(self.switch)
+            self.park_threads(self.switch)
 
-    def rest(self, switch: Softswitch) -> None:
+    def park_threads(self, switch: Softswitch) -> None:
         """Block the bulletin thread and the common reader of a stopped softswitch.
 
         Both end only with the process, which hundreds of tests share: each pair would go on polling the list
@@ -223,35 +223,35 @@
 
 
 @pytest.fixture
-def one(rig: Rig) -> tuple[Rig, Server, Peer, Peer]:
+def connected(rig: Rig) -> tuple[Rig, Server, Peer, Peer]:
     """A rig with one server, the server's connection and a caller."""
     server = Server()
     rig.open(list_line(server, "s-1"))
     return rig, server, server.accept(), rig.caller()
 
 
-One = tuple[Rig, Server, Peer, Peer]
+ConnectedRig = tuple[Rig, Server, Peer, Peer]
 
 
 def set_up_call(rig: Rig, server_peer: Peer, caller: Peer) -> int:
     call = rig.call(caller)
-    server_peer.hear(SetUp, call)
-    server_peer.say(Answer(call, b"accept"))
-    caller.hear(Answer, call)
+    server_peer.receive(SetUp, call)
+    server_peer.send(Answer(call, b"accept"))
+    caller.receive(Answer, call)
     return call
 
 
-def test_call_is_relayed_unchanged_answered_and_released(one: One) -> None:
-    rig, _, server_peer, caller = one
+def test_call_is_relayed_unchanged_answered_and_released(connected: ConnectedRig) -> None:
+    rig, _, server_peer, caller = connected
     call = rig.call(caller, wait_ms=3000)
-    set_up = server_peer.hear(SetUp, call)
+    set_up = server_peer.receive(SetUp, call)
     assert (set_up.klass, set_up.number, set_up.description) == ("voice", "7f3a9c21e0b4d655", b"offer")
     assert 2500 <= set_up.wait_ms <= 3000
     assert set_up.first_choice == -1  # the caller's routing figures are not sent on to the server
-    server_peer.say(Answer(call, b"accept \xff"))
-    assert caller.hear(Answer, call).description == b"accept \xff"
-    server_peer.say(Release(call, Reason.CLEARED, report={"free": 899.0, "avg_ms": 2.5}))
-    assert caller.hear(Release, call).reason is Reason.CLEARED
+    server_peer.send(Answer(call, b"accept \xff"))
+    assert caller.receive(Answer, call).description == b"accept \xff"
+    server_peer.send(Release(call, Reason.CLEARED, report={"free": 899.0, "avg_ms": 2.5}))
+    assert caller.receive(Release, call).reason is Reason.CLEARED
 
 
 @pytest.mark.parametrize(
@@ -269,50 +269,50 @@
     rig.open(list_line(servers[0], "s-1", 0), list_line(servers[1], "s-2", 1))
     first, second, caller = servers[0].accept(), servers[1].accept(), rig.caller()
     call = rig.call(caller)
-    first.hear(SetUp, call)
+    first.receive(SetUp, call)
     failed_at = time.monotonic()
-    first.say(Release(call, release.reason, release.note))
+    first.send(Release(call, release.reason, release.note))
     if next_attempt == "caller":
-        refusal = caller.hear(Release, call)
+        refusal = caller.receive(Release, call)
         assert refusal.reason is Reason.CONGESTED
         assert refusal.stay_away_ms > 0
         return
     next_peer = first if next_attempt == "s-1" else second
-    next_peer.hear(SetUp, call)
+    next_peer.receive(SetUp, call)
     assert next_attempt == "s-2" or time.monotonic() - failed_at >= 0.2
-    next_peer.say(Answer(call, b"accept"))
-    caller.hear(Answer, call)
+    next_peer.send(Answer(call, b"accept"))
+    caller.receive(Answer, call)
 
 
-def test_unanswered_call_fails_before_its_caller_gives_up(one: One) -> None:
-    rig, _, server_peer, caller = one
+def test_unanswered_call_fails_before_its_caller_gives_up(connected: ConnectedRig) -> None:
+    rig, _, server_peer, caller = connected
     started_at = time.monotonic()
     call = rig.call(caller, wait_ms=400)
-    server_peer.hear(SetUp, call)
-    assert caller.hear(Release, call).reason is Reason.FAILED
+    server_peer.receive(SetUp, call)
+    assert caller.receive(Release, call).reason is Reason.FAILED
     assert time.monotonic() - started_at < 5
     # The attempt is released at the server too.
-    assert server_peer.hear(Release, call).reason is Reason.CLEARED
-    server_peer.say(Answer(call, b"too late"))
+    assert server_peer.receive(Release, call).reason is Reason.CLEARED
+    server_peer.send(Answer(call, b"too late"))
     other_call = set_up_call(rig, server_peer, caller)
     assert other_call != call  # nothing more about the first call follows
-    assert not [message for message in caller.read if message.call == call]
+    assert not [message for message in caller.received if message.call == call]
 
 
-def test_release_by_the_caller_releases_its_attempt(one: One) -> None:
-    rig, _, server_peer, caller = one
+def test_release_by_the_caller_releases_its_attempt(connected: ConnectedRig) -> None:
+    rig, _, server_peer, caller = connected
     call = rig.call(caller)
-    server_peer.hear(SetUp, call)
-    caller.say(Release(call, Reason.CLEARED))
-    assert server_peer.hear(Release, call).reason is Reason.CLEARED
+    server_peer.receive(SetUp, call)
+    caller.send(Release(call, Reason.CLEARED))
+    assert server_peer.receive(Release, call).reason is Reason.CLEARED
 
 
-def test_reset_of_the_callers_connection_releases_its_attempt(one: One) -> None:
-    rig, _, server_peer, caller = one
+def test_reset_of_the_callers_connection_releases_its_attempt(connected: ConnectedRig) -> None:
+    rig, _, server_peer, caller = connected
     call = rig.call(caller)
-    server_peer.hear(SetUp, call)
+    server_peer.receive(SetUp, call)
     caller.reset()
-    assert server_peer.hear(Release, call).reason is Reason.CLEARED
+    assert server_peer.receive(Release, call).reason is Reason.CLEARED
 
 
 def test_refused_connect_is_retried_at_another_server(rig: Rig) -> None:
@@ -324,114 +324,118 @@
     set_up_call(rig, server_peer, caller)
 
 
-def test_release_is_accepted_on_any_connection_and_relayed_once(one: One) -> None:
-    rig, _, server_peer, caller = one
+def test_release_is_accepted_on_any_connection_and_relayed_once(connected: ConnectedRig) -> None:
+    rig, _, server_peer, caller = connected
     call, other_call = set_up_call(rig, server_peer, caller), set_up_call(rig, server_peer, caller)
     other_caller = rig.caller()
-    other_caller.say(Test(1))
-    other_caller.hear(TestResult)
-    other_caller.say(Release(call, Reason.CLEARED))  # released on a connection that never carried the call
-    assert server_peer.hear(Release, call).reason is Reason.CLEARED
+    other_caller.send(Test(1))
+    other_caller.receive(TestResult)
+    other_caller.send(Release(call, Reason.CLEARED))  # released on a connection that never carried the call
+    assert server_peer.receive(Release, call).reason is Reason.CLEARED
     caller.sock.close()  # whether or not it was written there, the release must arrive
     # Servers repeat their releases.
-    server_peer.say(Release(other_call, Reason.CLEARED), Release(other_call, Reason.CLEARED))
-    other_caller.hear(Release, other_call)
+    server_peer.send(Release(other_call, Reason.CLEARED), Release(other_call, Reason.CLEARED))
+    other_caller.receive(Release, other_call)
     third_call = set_up_call(rig, server_peer, other_caller)
     assert third_call
-    assert not [message for message in other_caller.read if message.call == other_call]
+    assert not [message for message in other_caller.received if message.call == other_call]
 
 
-def test_release_is_held_until_a_caller_connects(one: One) -> None:
-    rig, _, server_peer, caller = one
+def test_release_is_held_until_a_caller_connects(connected: ConnectedRig) -> None:
+    rig, _, server_peer, caller = connected
     call = set_up_call(rig, server_peer, caller)
     caller.sock.close()
     wait_for(lambda: rig.switch is not None and not rig.switch.shared.caller_links)
-    server_peer.say(Release(call, Reason.CLEARED))
-    wait_for(lambda: rig.switch is not None and bool(rig.switch.book.unsent))
+    server_peer.send(Release(call, Reason.CLEARED))
+    wait_for(lambda: rig.switch is not None and bool(rig.switch.book.undelivered))
     tester, new_caller = rig.caller(), rig.caller()
-    tester.say(Test(1))
-    tester.hear(TestResult)
-    assert not tester.read  # a connection that only sent a Test is no caller's
+    tester.send(Test(1))
+    tester.receive(TestResult)
+    assert not tester.received  # a connection that only sent a Test is no caller's
     rig.call(new_caller)
-    assert new_caller.hear(Release, call).reason is Reason.CLEARED
+    assert new_caller.receive(Release, call).reason is Reason.CLEARED
 
 
 @pytest.mark.parametrize("confirmed", [False, True])
-def test_unconfirmed_release_is_sent_again_when_its_connection_closes(one: One, confirmed: bool) -> None:
+def test_unconfirmed_release_is_sent_again_when_its_connection_closes(
+    connected: ConnectedRig, confirmed: bool
+) -> None:
     """A release written to a connection that is being closed may never be read by the caller."""
-    rig, _, server_peer, caller = one
+    rig, _, server_peer, caller = connected
     call, other_caller = set_up_call(rig, server_peer, caller), rig.caller()
     set_up_call(rig, server_peer, other_caller)
-    server_peer.say(Release(call, Reason.CLEARED))
-    caller.hear(Release, call)
+    server_peer.send(Release(call, Reason.CLEARED))
+    caller.receive(Release, call)
     if confirmed:
-        caller.say(ReleaseComplete(call))
+        caller.send(ReleaseComplete(call))
     caller.sock.close()
     assert rig.switch is not None
     wait_for(lambda: rig.switch is not None and len(rig.switch.shared.caller_links) == 1)
     assert rig.switch.shared.counters["releases_sent_again"] == (not confirmed)
     if not confirmed:
-        other_caller.hear(Release, call)
+        other_caller.receive(Release, call)
 
 
-def test_server_release_of_a_call_from_before_a_restart_is_relayed(one: One) -> None:
-    rig, _, server_peer, caller = one
+def test_server_release_of_a_call_from_before_a_restart_is_relayed(connected: ConnectedRig) -> None:
+    rig, _, server_peer, caller = connected
     set_up_call(rig, server_peer, caller)
-    server_peer.say(Release(0xBEEF, Reason.CLEARED))
-    assert caller.hear(Release).call == 0xBEEF
+    server_peer.send(Release(0xBEEF, Reason.CLEARED))
+    assert caller.receive(Release).call == 0xBEEF
 
 
 @pytest.mark.parametrize("loss", ["crashed", "gone", "restarted"])
-def test_calls_of_a_lost_server_are_released_as_interrupted(one: One, loss: str) -> None:
-    rig, server, server_peer, caller = one
+def test_calls_of_a_lost_server_are_released_as_interrupted(connected: ConnectedRig, loss: str) -> None:
+    rig, server, server_peer, caller = connected
     call = set_up_call(rig, server_peer, caller)
     if loss == "crashed":  # connection reset, and then connects are refused
         server.sock.close()
         server_peer.reset()
     elif loss == "gone":
-        rig.bulletin.tell(list_line(server, "s-1", health="Gone"))
+        rig.bulletin.publish(list_line(server, "s-1", health="Gone"))
     else:  # restarted, with the old connection still open
-        rig.bulletin.tell(list_line(server, "s-1", born=time.time_ns() // 1_000_000 + 2))
-    assert caller.hear(Release, call).reason is Reason.INTERRUPTED
+        rig.bulletin.publish(list_line(server, "s-1", born_ms=time.time_ns() // 1_000_000 + 2))
+    assert caller.receive(Release, call).reason is Reason.INTERRUPTED
     if loss == "restarted":
         set_up_call(rig, server.accept(), caller)
 
 
-def test_reset_of_a_server_connection_keeps_answered_calls(one: One) -> None:
-    rig, server, server_peer, caller = one
+def test_reset_of_a_server_connection_keeps_answered_calls(connected: ConnectedRig) -> None:
+    rig, server, server_peer, caller = connected
     call = set_up_call(rig, server_peer, caller)
     server_peer.reset()
     new_peer = server.accept()
-    new_peer.say(Release(call, Reason.CLEARED))
-    assert caller.hear(Release, call).reason is Reason.CLEARED
+    new_peer.send(Release(call, Reason.CLEARED))
+    assert caller.receive(Release, call).reason is Reason.CLEARED
 
 
-def test_connection_to_a_restarted_server_survives_the_late_list_update(one: One) -> None:
+def test_connection_to_a_restarted_server_survives_the_late_list_update(connected: ConnectedRig) -> None:
     """The bulletin may report a restart after the softswitch has connected to the new process."""
-    rig, server, server_peer, caller = one
+    rig, server, server_peer, caller = connected
     born_ms = time.time_ns() // 1_000_000 - 1
     server_peer.reset()
     new_peer = server.accept()
     call = rig.call(caller)
-    new_peer.hear(SetUp, call)
-    rig.bulletin.tell(list_line(server, "s-1", born=born_ms))
-    wait_for(lambda: rig.switch is not None and rig.switch.shared.servers["s-1"].born > 0)
-    new_peer.say(Answer(call, b"accept"))
-    caller.hear(Answer, call)
+    new_peer.receive(SetUp, call)
+    rig.bulletin.publish(list_line(server, "s-1", born_ms=born_ms))
+    wait_for(lambda: rig.switch is not None and rig.switch.shared.servers["s-1"].started_at > 0)
+    new_peer.send(Answer(call, b"accept"))
+    caller.receive(Answer, call)
 
 
-def test_new_server_may_reuse_the_address_of_a_gone_one(one: One) -> None:
-    rig, server, _, caller = one
-    rig.bulletin.tell(list_line(server, "s-1", health="Gone"), list_line(server, "s-2"))
+def test_new_server_may_reuse_the_address_of_a_gone_one(connected: ConnectedRig) -> None:
+    rig, server, _, caller = connected
+    rig.bulletin.publish(list_line(server, "s-1", health="Gone"), list_line(server, "s-2"))
     set_up_call(rig, server.accept(), caller)
 
 
 @pytest.mark.parametrize("invalid_text", ["", "{", "[]", '{"name": "n0"}'])
-def test_reload_changes_the_bulletin_address_and_keeps_open_calls(one: One, invalid_text: str) -> None:
-    rig, _, server_peer, caller = one
+def test_reload_changes_the_bulletin_address_and_keeps_open_calls(
+    connected: ConnectedRig, invalid_text: str
+) -> None:
+    rig, _, server_peer, caller = connected
     assert rig.switch is not None
     call, valid_text = rig.call(caller), rig.text
-    server_peer.hear(SetUp, call)
+    server_peer.receive(SetUp, call)
     counters = rig.switch.shared.counters
     invalid_address_texts = [
         valid_text.replace(rig.bulletin.dial, address) for address in ("nowhere", "127.0.0.1:99999")
@@ -445,32 +449,32 @@
     rig.bulletin.number = old_bulletin.number  # event numbers go on from those of the old bulletin
     rig.text = valid_text.replace(old_bulletin.dial, rig.bulletin.dial)
     rig.switch.reload_requested = True
-    rig.bulletin.tell(list_line(new_server, "s-2", 1))
+    rig.bulletin.publish(list_line(new_server, "s-2", 1))
     new_server.accept()
-    server_peer.say(Answer(call, b"accept"))
-    caller.hear(Answer, call)
+    server_peer.send(Answer(call, b"accept"))
+    caller.receive(Answer, call)
 
 
-def test_draining_server_gets_no_new_calls_and_keeps_its_own(one: One) -> None:
-    rig, server, server_peer, caller = one
+def test_draining_server_gets_no_new_calls_and_keeps_its_own(connected: ConnectedRig) -> None:
+    rig, server, server_peer, caller = connected
     call = set_up_call(rig, server_peer, caller)
-    rig.bulletin.tell(list_line(server, "s-1", health="Terminating"))
+    rig.bulletin.publish(list_line(server, "s-1", health="Terminating"))
     wait_for(lambda: rig.switch is not None and not rig.switch.route.controller.active)
     refused_call = rig.call(caller)
-    assert caller.hear(Release, refused_call).reason is Reason.CONGESTED
-    server_peer.say(Release(call, Reason.CLEARED))  # messages about its answered calls are still relayed
-    caller.hear(Release, call)
+    assert caller.receive(Release, refused_call).reason is Reason.CONGESTED
+    server_peer.send(Release(call, Reason.CLEARED))  # messages about its answered calls are still relayed
+    caller.receive(Release, call)
 
 
 def test_health_check_passes_only_once_the_pool_list_is_known(rig: Rig) -> None:
     rig.open()
     caller, server = rig.caller(), Server()
-    caller.say(Test(7))
-    assert not caller.hear(TestResult, 7).passed
-    rig.bulletin.tell(list_line(server, "s-1"), whole=True)
+    caller.send(Test(7))
+    assert not caller.receive(TestResult, 7).passed
+    rig.bulletin.publish(list_line(server, "s-1"), complete=True)
     server.accept()
-    caller.say(Test(8))
-    assert caller.hear(TestResult, 8).passed
+    caller.send(Test(8))
+    assert caller.receive(TestResult, 8).passed
 
 
 HEAD = codec.HEAD
@@ -494,25 +498,29 @@
         HEAD.pack(276, 12, 7) + b"\x4e\x00\x01\x10" + b"\x49\x01\x04" + b"a:1;" * 65,
     ],
 )
-def test_malformed_input_closes_only_its_own_connection(one: One, malformed_bytes: bytes) -> None:
-    rig, _, server_peer, caller = one
+def test_malformed_input_closes_only_its_own_connection(
+    connected: ConnectedRig, malformed_bytes: bytes
+) -> None:
+    rig, _, server_peer, caller = connected
     bad_caller = rig.caller()
     bad_caller.sock.sendall(malformed_bytes)
-    assert bad_caller.ends()
+    assert bad_caller.wait_closed()
     set_up_call(rig, server_peer, caller)
     wait_for(lambda: rig.switch is not None and rig.switch.shared.counters["malformed"] == 1)
 
 
 @pytest.mark.parametrize(("klass", "wait_ms"), [("fax", 1000), ("", 1000), ("voice", 0)])
-def test_unknown_class_or_zero_wait_is_released_as_malformed(one: One, klass: str, wait_ms: int) -> None:
-    rig, _, _, caller = one
+def test_unknown_class_or_zero_wait_is_released_as_malformed(
+    connected: ConnectedRig, klass: str, wait_ms: int
+) -> None:
+    rig, _, _, caller = connected
     call = rig.call(caller, wait_ms, klass)
-    assert caller.hear(Release, call).reason is Reason.MALFORMED
+    assert caller.receive(Release, call).reason is Reason.MALFORMED
 
 
-def test_nan_and_infinite_figures_in_a_report_are_harmless(one: One) -> None:
-    rig, _, server_peer, caller = one
-    server_peer.say(GroupState(0, {"free": float("nan"), "size": float("inf"), "avg_ms": float("-inf")}))
+def test_nan_and_infinite_figures_in_a_report_are_harmless(connected: ConnectedRig) -> None:
+    rig, _, server_peer, caller = connected
+    server_peer.send(GroupState(0, {"free": float("nan"), "size": float("inf"), "avg_ms": float("-inf")}))
     set_up_call(rig, server_peer, caller)
 
 
@@ -532,9 +540,9 @@
     ids=str,
 )
 def test_set_up_with_invalid_fields_is_refused_and_its_connection_closed(
-    one: One, invalid_fields: dict[str, Any]
+    connected: ConnectedRig, invalid_fields: dict[str, Any]
 ) -> None:
-    rig, _, server_peer, caller = one
+    rig, _, server_peer, caller = connected
     fields = {"call": 7, "klass": "voice", "wait_ms": 5000, "number": "7f3a9c21e0b4d655", "first_choice": 0}
     set_up = SetUp(**{**fields, "description": b"offer", **invalid_fields})
     routing_figures = b"dest:%d;width:%d;via:-1" % (set_up.first_choice, set_up.width)
@@ -545,64 +553,66 @@
     )
     bad_caller = rig.caller()
     bad_caller.sock.sendall(len(body).to_bytes(2, "big") + body)
-    assert bad_caller.hear(Release, set_up.call).reason is Reason.MALFORMED
-    assert bad_caller.ends()
+    assert bad_caller.receive(Release, set_up.call).reason is Reason.MALFORMED
+    assert bad_caller.wait_closed()
     assert set_up_call(rig, server_peer, caller) != set_up.call  # other callers are still served
 
 
-def test_wait_rounded_up_past_the_maximum_is_accepted(one: One) -> None:
+def test_wait_rounded_up_past_the_maximum_is_accepted(connected: ConnectedRig) -> None:
     """A caller that rounds the maximum wait up to whole milliseconds exceeds it by 1 ms."""
-    rig, _, server_peer, caller = one
-    server_peer.hear(SetUp, rig.call(caller, wait_ms=module.DEFAULT_MAX_WAIT // module.MS + 1))
+    rig, _, server_peer, caller = connected
+    server_peer.receive(SetUp, rig.call(caller, wait_ms=module.DEFAULT_MAX_WAIT // module.MS + 1))
 
 
 @pytest.mark.parametrize("same_connection", [False, True])
-def test_set_up_with_the_id_of_an_open_call_does_not_take_it_over(one: One, same_connection: bool) -> None:
-    rig, _, server_peer, caller = one
+def test_set_up_with_the_id_of_an_open_call_does_not_take_it_over(
+    connected: ConnectedRig, same_connection: bool
+) -> None:
+    rig, _, server_peer, caller = connected
     call = rig.call(caller)
-    server_peer.hear(SetUp, call)
+    server_peer.receive(SetUp, call)
     bad_caller = caller if same_connection else rig.caller()
-    bad_caller.say(SetUp(call, "voice", 5000, "0000000000000000", b"another", first_choice=0))
+    bad_caller.send(SetUp(call, "voice", 5000, "0000000000000000", b"another", first_choice=0))
     if same_connection:
-        assert bad_caller.ends()  # two answers to one id would be ambiguous: the caller is closed
-        assert server_peer.hear(Release, call).reason is Reason.CLEARED
+        assert bad_caller.wait_closed()  # two answers to one id would be ambiguous: the caller is closed
+        assert server_peer.receive(Release, call).reason is Reason.CLEARED
         return
-    assert bad_caller.hear(Release, call).reason is Reason.MALFORMED
-    bad_caller.say(Release(call, Reason.CLEARED))  # nor may it release another caller's call
-    server_peer.say(Answer(call, b"accept"))
-    assert caller.hear(Answer, call).description == b"accept"
+    assert bad_caller.receive(Release, call).reason is Reason.MALFORMED
+    bad_caller.send(Release(call, Reason.CLEARED))  # nor may it release another caller's call
+    server_peer.send(Answer(call, b"accept"))
+    assert caller.receive(Answer, call).description == b"accept"
 
 
 @pytest.mark.parametrize("sent_bytes", [b"", codec.encode(SetUp(1, "voice", 9, "7", b"offer"))[:20]])
 def test_caller_that_sends_nothing_or_part_of_a_message_is_closed(
-    one: One, monkeypatch: pytest.MonkeyPatch, sent_bytes: bytes
+    connected: ConnectedRig, monkeypatch: pytest.MonkeyPatch, sent_bytes: bytes
 ) -> None:
-    rig, _, server_peer, caller = one
+    rig, _, server_peer, caller = connected
     set_up_call(rig, server_peer, caller)  # a caller that has sent a message may be silent
     monkeypatch.setattr(links, "FIRST_BYTE_TIMEOUT_MS", 50)
     monkeypatch.setattr(links, "MESSAGE_TIMEOUT_MS", 50)
     monkeypatch.setattr(links, "FIRST_MESSAGE_TIMEOUT_MS", 100)
     bad_caller = rig.caller()
     bad_caller.sock.sendall(sent_bytes)
-    assert bad_caller.ends()
+    assert bad_caller.wait_closed()
     set_up_call(rig, server_peer, caller)
 
 
-def test_silent_callers_are_closed_to_make_room_for_new_ones(one: One) -> None:
-    rig, _, server_peer, caller = one
+def test_silent_callers_are_closed_to_make_room_for_new_ones(connected: ConnectedRig) -> None:
+    rig, _, server_peer, caller = connected
     assert rig.switch is not None
     set_up_call(rig, server_peer, caller)
     rig.switch.shared.caller_limit = 4
     idle_callers = [rig.caller() for _ in range(40)]
     set_up_call(rig, server_peer, rig.caller())
-    assert idle_callers[0].ends()
+    assert idle_callers[0].wait_closed()
     wait_for(lambda: rig.switch is not None and len(rig.switch.shared.caller_links) <= 4)
 
 
 def test_idle_callers_are_closed_before_a_new_one_that_has_sent_nothing(
-    one: One, monkeypatch: pytest.MonkeyPatch
+    connected: ConnectedRig, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    rig, _, server_peer, _ = one
+    rig, _, server_peer, _ = connected
     assert rig.switch is not None
     idle_callers = [rig.caller() for _ in range(4)]
     for caller in idle_callers:
@@ -612,12 +622,14 @@
     new_caller, counters = rig.caller(), rig.switch.shared.counters
     wait_for(lambda: counters["callers_closed_for_room"] > 0)
     set_up_call(rig, server_peer, new_caller)  # it had sent nothing when the others were closed
-    assert idle_callers[0].ends()
+    assert idle_callers[0].wait_closed()
 
 
-def test_caller_connection_counts_as_unread_until_the_loop_has_processed_its_input(one: One) -> None:
+def test_caller_connection_counts_as_unread_until_the_loop_has_processed_its_input(
+    connected: ConnectedRig,
+) -> None:
     """Closed for room or as idle, a connection with unread input would lose a set-up."""
-    rig, _, server_peer, caller = one
+    rig, _, server_peer, caller = connected
     set_up_call(rig, server_peer, caller)
     assert rig.switch is not None
     (link,) = rig.switch.shared.caller_links
@@ -628,21 +640,21 @@
     link.inbox.get(timeout=TIMEOUT_S)
     assert link.has_unread()
     rig.switch.shared.inbox.put(links.Received(link, Test(1)))
-    caller.hear(TestResult, 1)
+    caller.receive(TestResult, 1)
     assert not link.has_unread()
 
 
 def test_caller_connection_without_a_call_is_closed_after_the_idle_timeout(
-    one: One, monkeypatch: pytest.MonkeyPatch
+    connected: ConnectedRig, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    rig, _, server_peer, caller = one
+    rig, _, server_peer, caller = connected
     call = set_up_call(rig, server_peer, caller)
     monkeypatch.setattr(module, "IDLE_TIMEOUT", 0)
     idle_caller = rig.caller()
-    idle_caller.say(Test(1))
-    assert idle_caller.ends()
-    server_peer.say(Release(call, Reason.CLEARED))  # a connection whose call still stands stays open
-    caller.hear(Release, call)
+    idle_caller.send(Test(1))
+    assert idle_caller.wait_closed()
+    server_peer.send(Release(call, Reason.CLEARED))  # a connection whose call still stands stays open
+    caller.receive(Release, call)
 
 
 @pytest.mark.parametrize(
@@ -655,22 +667,22 @@
     ],
 )
 def test_malformed_server_message_ends_the_connection_and_its_attempts(
-    one: One, malformed_bytes: bytes
+    connected: ConnectedRig, malformed_bytes: bytes
 ) -> None:
-    rig, server, server_peer, caller = one
+    rig, server, server_peer, caller = connected
     call, other_call = rig.call(caller), rig.call(caller)
-    server_peer.hear(SetUp, call), server_peer.hear(SetUp, other_call)
+    server_peer.receive(SetUp, call), server_peer.receive(SetUp, other_call)
     server_peer.sock.sendall(malformed_bytes[:3] + call.to_bytes(8, "big") + malformed_bytes[11:])
-    assert server_peer.ends()
+    assert server_peer.wait_closed()
     new_peer = server.accept()
     for open_call in (call, other_call):
-        new_peer.hear(SetUp, open_call)
-        new_peer.say(Answer(open_call, b"accept"))
-        caller.hear(Answer, open_call)
+        new_peer.receive(SetUp, open_call)
+        new_peer.send(Answer(open_call, b"accept"))
+        caller.receive(Answer, open_call)
 
 
-def test_peer_that_does_not_read_is_closed_and_blocks_no_other(one: One) -> None:
-    rig, _, server_peer, caller = one
+def test_peer_that_does_not_read_is_closed_and_blocks_no_other(connected: ConnectedRig) -> None:
+    rig, _, server_peer, caller = connected
     stalled_caller = rig.caller()
     stalled_caller.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     assert rig.switch is not None
@@ -678,7 +690,7 @@
     link = list(rig.switch.shared.caller_links)[-1]
     while link.send(Answer(1, b"x" * 16000)):
         pass  # ends because the outbox is bounded
-    assert stalled_caller.ends()
+    assert stalled_caller.wait_closed()
     set_up_call(rig, server_peer, caller)
 
 
@@ -713,21 +725,21 @@
 
 
 def test_calls_taken_in_around_the_stop_request_are_answered_before_the_end(
-    one: One, monkeypatch: pytest.MonkeyPatch
+    connected: ConnectedRig, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    rig, _, server_peer, caller = one
+    rig, _, server_peer, caller = connected
     monkeypatch.setattr(module, "MIN_STOP_TIME", 300_000)
     call = rig.call(caller)
-    server_peer.hear(SetUp, call)
+    server_peer.receive(SetUp, call)
     assert rig.switch is not None
     rig.switch.stop_requested = True
-    wait_for(lambda: rig.switch is not None and rig.switch.shared.stopping_at > 0)
+    wait_for(lambda: rig.switch is not None and rig.switch.shared.stop_began_at > 0)
     new_caller = rig.caller()
     late_call = rig.call(new_caller)  # the load balancer in front has not seen a failed health check yet
-    server_peer.hear(SetUp, late_call)
-    server_peer.say(Answer(late_call, b"accept"), Answer(call, b"accept"))
-    caller.hear(Answer, call)
-    new_caller.hear(Answer, late_call)
+    server_peer.receive(SetUp, late_call)
+    server_peer.send(Answer(late_call, b"accept"), Answer(call, b"accept"))
+    caller.receive(Answer, call)
+    new_caller.receive(Answer, late_call)
     rig.thread.join(TIMEOUT_S)
     assert not rig.thread.is_alive()
 
@@ -793,10 +805,10 @@
 
 @pytest.mark.parametrize("refused", [False, True])
 def test_calls_are_cut_if_the_machine_vanished_but_not_if_it_refuses_connections(
-    one: One, monkeypatch: pytest.MonkeyPatch, refused: bool
+    connected: ConnectedRig, monkeypatch: pytest.MonkeyPatch, refused: bool
 ) -> None:
     """A draining server refuses new connections and still serves the calls on its open one."""
-    rig, _, server_peer, caller = one
+    rig, _, server_peer, caller = connected
     call = set_up_call(rig, server_peer, caller)
     dials: list[Any] = []
 
@@ -810,79 +822,81 @@
     monkeypatch.setattr(module, "VANISHED_TIMEOUT", 0)
     if refused:
         wait_for(lambda: len(dials) > 1)  # at the second dial the failure of the first is processed
-        server_peer.say(Release(call, Reason.CLEARED))
-    assert caller.hear(Release, call).reason is (Reason.CLEARED if refused else Reason.INTERRUPTED)
+        server_peer.send(Release(call, Reason.CLEARED))
+    assert caller.receive(Release, call).reason is (Reason.CLEARED if refused else Reason.INTERRUPTED)
 
 
 def test_silent_connection_is_replaced_after_a_set_up_failed_on_it(
-    one: One, monkeypatch: pytest.MonkeyPatch
+    connected: ConnectedRig, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    rig, server, server_peer, caller = one
+    rig, server, server_peer, caller = connected
     monkeypatch.setattr(module, "SILENCE_TIMEOUT", 200_000)
     set_up_call(rig, server_peer, caller)
     call = rig.call(caller, wait_ms=400)
-    caller.hear(Release, call)
+    caller.receive(Release, call)
     new_peer = server.accept()  # the old one stays open and silent, as after a network outage
     monkeypatch.setattr(module, "SILENCE_TIMEOUT", 10**9)
     set_up_call(rig, new_peer, caller)
-    assert server_peer.ends()
+    assert server_peer.wait_closed()
 
 
-def test_unresponsive_connection_is_replaced_before_its_calls_time_out(one: One) -> None:
-    rig, server, server_peer, caller = one
+def test_unresponsive_connection_is_replaced_before_its_calls_time_out(connected: ConnectedRig) -> None:
+    rig, server, server_peer, caller = connected
     set_up_call(rig, server_peer, caller)
     call = rig.call(caller)  # gets no answer; nothing is reset, and the machine is well
-    server_peer.hear(SetUp, call)
+    server_peer.receive(SetUp, call)
     new_peer = server.accept()
     # Refused in time, not failed at its deadline.
-    assert caller.hear(Release, call).reason is Reason.CONGESTED
-    assert server_peer.ends()
+    assert caller.receive(Release, call).reason is Reason.CONGESTED
+    assert server_peer.wait_closed()
     new_peer.sock.close()
 
 
-def test_lost_answer_is_detected_by_a_probe_and_the_call_retried(one: One) -> None:
-    rig, _, server_peer, caller = one
+def test_lost_answer_is_detected_by_a_probe_and_the_call_retried(connected: ConnectedRig) -> None:
+    rig, _, server_peer, caller = connected
     call = rig.call(caller)
-    server_peer.hear(SetUp, call)
+    server_peer.receive(SetUp, call)
     # A server processes messages in order: with the probe answered, the set-up's answer is lost.
-    server_peer.say(GroupState(server_peer.hear(Test).call, LINES))
-    assert server_peer.hear(Release, call).reason is Reason.CLEARED
-    server_peer.hear(SetUp, call)
-    server_peer.say(Answer(call, b"accept"))
-    caller.hear(Answer, call)
+    server_peer.send(GroupState(server_peer.receive(Test).call, LINES))
+    assert server_peer.receive(Release, call).reason is Reason.CLEARED
+    server_peer.receive(SetUp, call)
+    server_peer.send(Answer(call, b"accept"))
+    caller.receive(Answer, call)
 
 
-def test_unanswered_probe_replaces_the_connection_at_once(one: One) -> None:
+def test_unanswered_probe_replaces_the_connection_at_once(connected: ConnectedRig) -> None:
     """A connection that delivers nothing loses the probe as well as the set-up."""
-    rig, server, server_peer, caller = one
+    rig, server, server_peer, caller = connected
     assert rig.switch is not None
     rig.switch.shared.min_aim = 10**12  # rules out a replacement because of the time that has passed
     call = rig.call(caller)
-    server_peer.hear(SetUp, call)
-    server_peer.hear(Test)
+    server_peer.receive(SetUp, call)
+    server_peer.receive(Test)
     new_peer = server.accept()
-    new_peer.say(GroupState(new_peer.hear(Test).call, LINES))
-    assert server_peer.ends()
-    new_peer.hear(SetUp, call)
-    new_peer.say(Answer(call, b"accept"))
-    caller.hear(Answer, call)
+    new_peer.send(GroupState(new_peer.receive(Test).call, LINES))
+    assert server_peer.wait_closed()
+    new_peer.receive(SetUp, call)
+    new_peer.send(Answer(call, b"accept"))
+    caller.receive(Answer, call)
 
 
-def test_unresponsive_connection_does_not_mark_a_server_that_answers_on_another(one: One) -> None:
+def test_unresponsive_connection_does_not_mark_a_server_that_answers_on_another(
+    connected: ConnectedRig,
+) -> None:
     """Counted as a time-out, a fault of the connection alone would mark a server that is well."""
-    rig, server, server_peer, caller = one
+    rig, server, server_peer, caller = connected
     call = rig.call(caller)
-    server_peer.hear(SetUp, call)
+    server_peer.receive(SetUp, call)
     new_peer = server.accept()
-    new_peer.say(GroupState(new_peer.hear(Test).call, LINES))  # sent later than the set-up, and answered
-    assert server_peer.ends()
-    new_peer.hear(SetUp, call)
+    new_peer.send(GroupState(new_peer.receive(Test).call, LINES))  # sent later than the set-up, and answered
+    assert server_peer.wait_closed()
+    new_peer.receive(SetUp, call)
     assert rig.switch is not None
     server_state = rig.switch.route.controller.servers["s-1"]
     assert (server_state.failures, server_state.mark_until) == (0, 0)
     assert rig.switch.shared.servers["s-1"].redial_after == module.MIN_REDIAL_DELAY
-    new_peer.say(Answer(call, b"accept"))
-    caller.hear(Answer, call)
+    new_peer.send(Answer(call, b"accept"))
+    caller.receive(Answer, call)
 
 
 def replace_connection(rig: Rig, server: Server) -> Peer:
@@ -901,9 +915,9 @@
 
 
 @pytest.mark.parametrize("release_sent", ["before replacement", "after replacement"])
-def test_release_on_a_replaced_connection_is_relayed(one: One, release_sent: str) -> None:
+def test_release_on_a_replaced_connection_is_relayed(connected: ConnectedRig, release_sent: str) -> None:
     """The server writes releases to the old connection until it notices that it has been shut down."""
-    rig, server, server_peer, caller = one
+    rig, server, server_peer, caller = connected
     call = set_up_call(rig, server_peer, caller)
     assert rig.switch is not None
     link = rig.switch.shared.servers["s-1"].link
@@ -911,13 +925,13 @@
     may_read, read_available = threading.Event(), link.read_available
     setattr(link, "read_available", lambda: may_read.wait(TIMEOUT_S) and read_available())  # noqa: B010
     if release_sent == "before replacement":  # and still unread then
-        server_peer.say(Release(call, Reason.CLEARED))
+        server_peer.send(Release(call, Reason.CLEARED))
     new_peer = replace_connection(rig, server)
     wait_for_shutdown(server_peer)
     if release_sent != "before replacement":
-        server_peer.say(Release(call, Reason.CLEARED))
+        server_peer.send(Release(call, Reason.CLEARED))
     may_read.set()
-    assert caller.hear(Release, call).reason is Reason.CLEARED
+    assert caller.receive(Release, call).reason is Reason.CLEARED
     set_up_call(rig, new_peer, caller)
 
 
@@ -928,39 +942,41 @@
     monkeypatch.setattr(module.SendStage, "check_replaced_link", break_off)
 
 
-def test_release_on_a_broken_off_connection_is_relayed(one: One, monkeypatch: pytest.MonkeyPatch) -> None:
-    rig, server, server_peer, caller = one
+def test_release_on_a_broken_off_connection_is_relayed(
+    connected: ConnectedRig, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    rig, server, server_peer, caller = connected
     call, late_call = set_up_call(rig, server_peer, caller), rig.call(caller)
-    server_peer.hear(SetUp, late_call)
+    server_peer.receive(SetUp, late_call)
     break_off_at_next_check(monkeypatch)
     new_peer = replace_connection(rig, server)
     wait_for_shutdown(server_peer)
-    server_peer.say(Release(call, Reason.CLEARED))  # the server was slow, the connection not lost
-    assert caller.hear(Release, call).reason is Reason.CLEARED
-    new_peer.hear(SetUp, late_call)
-    new_peer.say(Answer(late_call, b"accept"))
-    caller.hear(Answer, late_call)
+    server_peer.send(Release(call, Reason.CLEARED))  # the server was slow, the connection not lost
+    assert caller.receive(Release, call).reason is Reason.CLEARED
+    new_peer.receive(SetUp, late_call)
+    new_peer.send(Answer(late_call, b"accept"))
+    caller.receive(Answer, late_call)
     assert rig.switch is not None
     assert rig.switch.shared.counters["links_dumb"] == 1
 
 
 def test_late_release_of_a_broken_off_attempt_does_not_end_the_next_one(
-    one: One, monkeypatch: pytest.MonkeyPatch
+    connected: ConnectedRig, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Both attempts have the same call id; only the connection tells them apart."""
-    rig, server, server_peer, caller = one
+    rig, server, server_peer, caller = connected
     call = rig.call(caller)
-    server_peer.hear(SetUp, call)
+    server_peer.receive(SetUp, call)
     break_off_at_next_check(monkeypatch)
     new_peer = replace_connection(rig, server)
     wait_for_shutdown(server_peer)
-    new_peer.hear(SetUp, call)
-    new_peer.say(Answer(call, b"accept"))
-    caller.hear(Answer, call)
-    server_peer.say(Release(call, Reason.FULL))
+    new_peer.receive(SetUp, call)
+    new_peer.send(Answer(call, b"accept"))
+    caller.receive(Answer, call)
+    server_peer.send(Release(call, Reason.FULL))
     wait_for(lambda: rig.switch is not None and rig.switch.shared.counters["strays"] == 1)
-    new_peer.say(Release(call, Reason.CLEARED))
-    assert caller.hear(Release, call).reason is Reason.CLEARED
+    new_peer.send(Release(call, Reason.CLEARED))
+    assert caller.receive(Release, call).reason is Reason.CLEARED
 
 
 def test_release_from_another_server_does_not_end_an_answered_call(rig: Rig) -> None:
@@ -968,17 +984,17 @@
     rig.open(list_line(server, "s-1"), list_line(other_server, "s-2", 1, health="Terminating"))
     server_peer, other_peer, caller = server.accept(), other_server.accept(), rig.caller()
     call = set_up_call(rig, server_peer, caller)
-    other_peer.say(Release(call, Reason.FULL))  # about an attempt there that was given up
+    other_peer.send(Release(call, Reason.FULL))  # about an attempt there that was given up
     wait_for(lambda: rig.switch is not None and rig.switch.shared.counters["strays"] == 1)
-    server_peer.say(Release(call, Reason.CLEARED))
-    assert caller.hear(Release, call).reason is Reason.CLEARED
+    server_peer.send(Release(call, Reason.CLEARED))
+    assert caller.receive(Release, call).reason is Reason.CLEARED
 
 
 @pytest.mark.parametrize("limit", ["time", "count"])
 def test_replaced_connection_is_closed_though_its_server_never_ends_it(
-    one: One, monkeypatch: pytest.MonkeyPatch, limit: str
+    connected: ConnectedRig, monkeypatch: pytest.MonkeyPatch, limit: str
 ) -> None:
-    rig, server, server_peer, caller = one
+    rig, server, server_peer, caller = connected
     monkeypatch.setattr(module, "LINGER_TIME", 50_000 if limit == "time" else 10**9)
     monkeypatch.setattr(module, "SILENCE_TIMEOUT", 10**9)  # no other connection replaces it meanwhile
     set_up_call(rig, server_peer, caller)
@@ -994,9 +1010,9 @@
 
 
 def test_server_that_refuses_connections_is_not_dialled_at_every_check(
-    one: One, monkeypatch: pytest.MonkeyPatch
+    connected: ConnectedRig, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    rig, _, server_peer, caller = one
+    rig, _, server_peer, caller = connected
     dials: list[Any] = []
 
     def dial(address: str, timeout: int, inbox: Any, owner: Any, *_: Any) -> None:
@@ -1006,64 +1022,64 @@
     monkeypatch.setattr(links, "dial", dial)
     started_at = time.monotonic()
     call = rig.call(caller, wait_ms=1500)
-    server_peer.hear(SetUp, call)
-    caller.hear(Release, call)
+    server_peer.receive(SetUp, call)
+    caller.receive(Release, call)
     assert 1 <= len(dials) <= (time.monotonic() - started_at) / 0.25 + 1
 
 
-def test_caller_release_of_a_call_from_before_a_restart_is_relayed_once(one: One) -> None:
-    rig, _, server_peer, caller = one
+def test_caller_release_of_a_call_from_before_a_restart_is_relayed_once(connected: ConnectedRig) -> None:
+    rig, _, server_peer, caller = connected
     set_up_call(rig, server_peer, caller)
-    caller.say(Release(0xBEEF, Reason.CLEARED), Release(0xBEEF, Reason.CLEARED))
-    server_peer.hear(Release, 0xBEEF)
+    caller.send(Release(0xBEEF, Reason.CLEARED), Release(0xBEEF, Reason.CLEARED))
+    server_peer.receive(Release, 0xBEEF)
     set_up_call(rig, server_peer, caller)
-    assert not [message for message in server_peer.read if message.call == 0xBEEF]
+    assert not [message for message in server_peer.received if message.call == 0xBEEF]
 
 
 def test_calls_still_open_at_the_stop_time_limit_are_failed(
-    one: One, monkeypatch: pytest.MonkeyPatch
+    connected: ConnectedRig, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    rig, _, server_peer, caller = one
+    rig, _, server_peer, caller = connected
     monkeypatch.setattr(module, "MAX_STOP_TIME", 200_000)
     call = rig.call(caller, wait_ms=60_000)
-    server_peer.hear(SetUp, call)
+    server_peer.receive(SetUp, call)
     assert rig.switch is not None
     rig.switch.stop_requested = True
-    assert caller.hear(Release, call).reason is Reason.FAILED
+    assert caller.receive(Release, call).reason is Reason.FAILED
 
 
 def test_answer_on_another_connection_than_its_set_up_is_ignored(
-    one: One, monkeypatch: pytest.MonkeyPatch
+    connected: ConnectedRig, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """While the set-up's own connection is open, such an answer belongs to an earlier attempt."""
-    rig, server, server_peer, caller = one
+    rig, server, server_peer, caller = connected
     monkeypatch.setattr(module, "SILENCE_TIMEOUT", 200_000)
     call = rig.call(caller)
-    server_peer.hear(SetUp, call)
+    server_peer.receive(SetUp, call)
     new_peer = server.accept()
     monkeypatch.setattr(module, "SILENCE_TIMEOUT", 10**9)
-    new_peer.say(Answer(call, b"stale"))
+    new_peer.send(Answer(call, b"stale"))
     wait_for(lambda: rig.switch is not None and rig.switch.shared.counters["strays"] == 1)
-    server_peer.say(Answer(call, b"fresh"))
-    assert caller.hear(Answer, call).description == b"fresh"
+    server_peer.send(Answer(call, b"fresh"))
+    assert caller.receive(Answer, call).description == b"fresh"
 
 
 def test_calls_refused_at_once_leave_no_timers(rig: Rig) -> None:
     rig.open()  # no server yet, so each call is refused
     caller = rig.caller()
     for _ in range(50):
-        caller.hear(Release, rig.call(caller))
+        caller.receive(Release, rig.call(caller))
     assert rig.switch is not None
     assert len(rig.switch.shared.timers) < 10
 
 
-def test_timer_of_an_attempt_does_not_keep_its_call_in_memory(one: One) -> None:
+def test_timer_of_an_attempt_does_not_keep_its_call_in_memory(connected: ConnectedRig) -> None:
     """A timer that held its call would keep the description, of up to 16 KiB, until the deadline."""
-    rig, _, server_peer, caller = one
+    rig, _, server_peer, caller = connected
     rig.serial = 0xB0000  # call ids that no other test uses
     call = set_up_call(rig, server_peer, caller)
-    server_peer.say(Release(call, Reason.CLEARED))
-    caller.hear(Release, call)
+    server_peer.send(Release(call, Reason.CLEARED))
+    caller.receive(Release, call)
     set_up_call(rig, server_peer, caller)  # by then the loop has processed the first call
     gc.collect()
     assert call not in [item.call_id for item in gc.get_objects() if isinstance(item, module.Call)]
@@ -1075,19 +1091,19 @@
     server.accept()
     caller = rig.caller()
     rig.call(caller)
-    assert caller.hear(Release, rig.call(caller)).stay_away_ms == 1000
+    assert caller.receive(Release, rig.call(caller)).stay_away_ms == 1000
 
 
-def test_memory_held_by_descriptions_is_bounded(one: One) -> None:
-    rig, _, server_peer, caller = one
+def test_memory_held_by_descriptions_is_bounded(connected: ConnectedRig) -> None:
+    rig, _, server_peer, caller = connected
     assert rig.switch is not None
     shared = rig.switch.shared
     shared.config.max_held_bytes = 8  # one 'offer' takes 5 bytes, two do not fit
     call = rig.call(caller)
-    server_peer.hear(SetUp, call)
-    assert caller.hear(Release, rig.call(caller)).stay_away_ms > 0
-    server_peer.say(Answer(call, b"accept"))
-    caller.hear(Answer, call)
+    server_peer.receive(SetUp, call)
+    assert caller.receive(Release, rig.call(caller)).stay_away_ms > 0
+    server_peer.send(Answer(call, b"accept"))
+    caller.receive(Answer, call)
     assert shared.held_bytes == 0
     wait_for(lambda: call in shared.standing)
     assert shared.standing[call].call.set_up.description == b""
@@ -1116,7 +1132,7 @@
     peer = server.accept()
     link.start()
     link.mark_processed(inbox.get().shares)  # the GroupState that `accept` sends
-    threading.Thread(target=peer.say, args=[Answer(1, b"x" * size)] * 30, daemon=True).start()
+    threading.Thread(target=peer.send, args=[Answer(1, b"x" * size)] * 30, daemon=True).start()
     for _ in range(30 - max_waiting):
         wait_for(lambda: inbox.qsize() >= max_waiting)
         assert inbox.qsize() == max_waiting
@@ -1125,15 +1141,15 @@
     link.close()
 
 
-def test_closing_caller_connection_that_is_not_read_is_dropped(one: One) -> None:
-    """Told to close, a connection whose peer never reads the last answer would keep its place for ever."""
-    rig = one[0]
+def test_closing_caller_connection_that_is_not_read_is_dropped(connected: ConnectedRig) -> None:
+    """A closing connection must not stay for ever because its peer never reads the last answer."""
+    rig = connected[0]
     stalled_caller = rig.caller()
     assert rig.switch is not None
     caller_links = rig.switch.shared.caller_links
     wait_for(lambda: len(caller_links) == 2)
     link = list(caller_links)[-1]
-    link.outbox_most = 10**9
+    link.max_outbox_bytes = 10**9
     for _ in range(1000):
         link.send(Answer(1, b"x" * 16000))
     link.is_closing = True
@@ -1142,10 +1158,10 @@
     stalled_caller.sock.close()
 
 
-def test_unreadable_list_lines_do_not_hide_the_others(one: One) -> None:
-    rig, server, _, _ = one
+def test_unreadable_list_lines_do_not_hide_the_others(connected: ConnectedRig) -> None:
+    rig, server, _, _ = connected
     new_server = Server()
-    rig.bulletin.tell(
+    rig.bulletin.publish(
         {"host": "s-7"}, list_line(server, "s-8", health="Unwell"), list_line(new_server, "s-2", 1)
     )
     new_server.accept()
@@ -1254,29 +1270,29 @@
 
 
 @pytest.mark.parametrize("passed", [True, False])
-def test_refused_probe_does_not_cancel_the_waiting_attempt(one: One, passed: bool) -> None:
+def test_refused_probe_does_not_cancel_the_waiting_attempt(connected: ConnectedRig, passed: bool) -> None:
     """Only a probe that passed shows that the set-up before it was processed."""
-    rig, _, server_peer, caller = one
+    rig, _, server_peer, caller = connected
     call = rig.call(caller)
-    server_peer.hear(SetUp, call)
-    probe = server_peer.hear(Test)  # after 1.5 times the usual set-up time
-    server_peer.say(TestResult(probe.call, passed, LINES if passed else {}))
+    server_peer.receive(SetUp, call)
+    probe = server_peer.receive(Test)  # after 1.5 times the usual set-up time
+    server_peer.send(TestResult(probe.call, passed, LINES if passed else {}))
     if passed:
         # The probe was sent later and answered first, so the set-up's answer is lost.
-        assert server_peer.hear(Release, call).reason is Reason.CLEARED
+        assert server_peer.receive(Release, call).reason is Reason.CLEARED
         return
-    server_peer.say(Answer(call, b"accept"))
-    caller.hear(Answer, call)
+    server_peer.send(Answer(call, b"accept"))
+    caller.receive(Answer, call)
     assert rig.switch is not None
     assert rig.switch.shared.counters["attempts_cancelled"] == 0
 
 
-def test_probes_for_one_unanswered_set_up_are_limited(one: One) -> None:
+def test_probes_for_one_unanswered_set_up_are_limited(connected: ConnectedRig) -> None:
     """Probes of hundreds of softswitches would load a late server more than its calls do."""
-    rig, _, server_peer, caller = one
+    rig, _, server_peer, caller = connected
     call = rig.call(caller, wait_ms=4000)
-    server_peer.hear(SetUp, call)
-    caller.hear(Release, call)
+    server_peer.receive(SetUp, call)
+    caller.receive(Release, call)
     assert rig.switch is not None
     proxies = rig.switch.shared.config.settings.proxies
     max_probes = module.MAX_SAVED_PROBES + module.PROBES_PER_SERVER / proxies * 5
--- a/wickstep/brain.py
+++ b/wickstep/brain.py
@@ -225,7 +225,7 @@
         usable = [s for s in choices if self._is_admitted(call, s, first=s is choices[0])]
         call.admitted = bool(usable)
         for server in usable:
-            if self._ready(server):
+            if self._fits(server):
                 return self._send(call, server)
         may_wait = any(self._is_allowed(call, s) for s in self.active) and len(usable) >= bool(choices)
         margin = call.klass.aim // (2 if choices else 10)  # lines come free soon, overload stays
@@ -257,7 +257,7 @@
     def _serve_queued(self, server: Server | None = None) -> None:
         """Dispatch queued calls, maybe thousands; for one server, only while that can take more."""
         queued = iter(sorted(self.queued.values(), key=self._estimate_worth, reverse=True))
-        while not server or (self.may_try(server) and self._ready(server) and server.free >= server.reported):
+        while not server or (self.may_try(server) and self._fits(server) and server.free >= server.reported):
             if (call := next(queued, None)) is None:
                 return
             if call.event.call in self.queued:
@@ -273,7 +273,7 @@
         server.tokens -= 1
         server.free = max(0.0, server.free - 1)
         # While answers get lost, an attempt that takes three times as long as usual is retried, if in time.
-        usual = int((server.rho or 1.0) * self._target_time(server))
+        usual = int((server.rho or 1.0) * self._get_target_time(server))
         call.cancel_at = self.now + 3 * usual
         if self.loss > CANCEL_LOSS and call.cancel_at + self.settings.release_wait + usual < call.aim_at:
             self.actions.append(api.Wake(call.event.call + 1, call.cancel_at))
@@ -322,7 +322,7 @@
         if server.failures >= SUSPECT_AFTER and server.sampled_at > server.alive_at:
             server.cold_since = max(server.cold_since, self.now)  # silent until now: may have restarted
         server.failures, server.error_run, server.alive_at = 0, 0, self.now
-        self._add_sample(server, event.delay / (target := self._target_time(server)))
+        self._add_sample(server, event.delay / (target := self._get_target_time(server)))
         if event.delay > target:
             server.window = max(MIN_WINDOW, server.window - 1 / server.window)
         elif 2 * len(server.open) >= server.window - 1:
@@ -389,7 +389,7 @@
         if 0 <= (wait := api.estimate_wait_ms(report)) < math.inf:
             server.alive_at = self.now
             self._write_off_overtaken(server, self.now - EVIDENCE_LIFETIME - server.min_time - wait * 1e6)
-            self._add_sample(server, (server.min_time + wait * 1e6) / self._target_time(server))
+            self._add_sample(server, (server.min_time + wait * 1e6) / self._get_target_time(server))
 
     def _add_sample(self, server: Server, sample: float) -> None:
         server.samples.append(min(sample, MAX_SAMPLE))
@@ -398,7 +398,7 @@
     def _is_low(self, rate: float, min_time: float) -> bool:
         return rate < LOW_RATE and (not min_time or self.settings.proxies * min_time > self.min_aim)
 
-    def _target_time(self, server: Server) -> float:
+    def _get_target_time(self, server: Server) -> float:
         fraction = LOW_RATE_AIM_FRACTION if self._is_low(server.rate, server.min_time) else AIM_FRACTION
         return server.min_time + fraction * max(self.min_aim - server.min_time, self.min_aim / 4)
 
@@ -430,7 +430,7 @@
 
     def _take_sample(self, server: Server) -> None:
         """Smooth one sample in each T_m; without evidence nothing changes while the last one is fresh."""
-        target = self._target_time(server)
+        target = self._get_target_time(server)
         oldest = min(server.open.values(), default=self.now)
         if self.now - max(oldest, server.alive_at) > max(self.min_aim, 2 * target):
             self._mark_failed(server)  # in flight beyond the shortest aim, no answer of any kind since
@@ -459,7 +459,7 @@
 
     # Cold servers: slow start by a token bucket, whose budget holds for the window of the fall rule.
 
-    def _ready(self, server: Server) -> bool:
+    def _fits(self, server: Server) -> bool:
         """Whether a set-up fits the window and, at a cold server, its token bucket, which its lines size."""
         if len(server.open) >= (MIN_WINDOW if self._is_low(server.rate, server.min_time) else server.window):
             return False
--- a/wickstep/net/bulletin.py
+++ b/wickstep/net/bulletin.py
@@ -158,7 +158,7 @@
         while True:
             try:
                 self.poll_once()
-            except Exception as exc:  # if this thread ended, no drain would be heard of any more
+            except Exception as exc:  # if this thread ended, no drain would be noticed any more
                 log.warning("polling the bulletin failed: %r", exc)
                 self._disconnect()
                 self._address_changed.wait(RETRY_DELAY_S)  # a new address is polled at once
--- a/wickstep/net/codec.py
+++ b/wickstep/net/codec.py
@@ -77,7 +77,7 @@
 
     def __init__(self) -> None:
         self._splitter = Splitter()
-        self.begun, self.feed = self._splitter.begun, self._splitter.feed
+        self.has_partial_message, self.feed = self._splitter.has_partial_message, self._splitter.feed
 
     @property
     def size(self) -> int:
@@ -97,7 +97,7 @@
         self._buffer = bytearray()
         self.size = 0  # bytes of the message that feed() yielded last
 
-    def begun(self) -> bool:
+    def has_partial_message(self) -> bool:
         """Whether part of a message has been received."""
         return bool(self._buffer)
 
--- a/wickstep/net/links.py
+++ b/wickstep/net/links.py
@@ -127,7 +127,7 @@
     def size(self) -> int:
         """Bytes of the message that `feed` yielded last."""
 
-    def begun(self) -> bool:
+    def has_partial_message(self) -> bool:
         """Whether part of a message has been received."""
 
     def feed(self, data: bytes) -> Iterator[Message]:
@@ -152,12 +152,12 @@
         self.sock = sock
         self.on_freed: Callable[[], None] = lambda: None  # called once the descriptor is closed
         self.message_timeout_ms = SERVER_MESSAGE_TIMEOUT_MS  # from a message's first byte to its last
-        self.outbox_most = MAX_OUTBOX_BYTES
+        self.max_outbox_bytes = MAX_OUTBOX_BYTES
         self.read_size = READ_SIZE
         self.had_call = False  # set by the loop: a call that came on it was answered
         self.first_message_deadline_ms = 0  # on the monotonic clock; 0: as for any other message
         self.first_byte_timeout_ms = 0  # silence allowed before the first byte; 0: no limit
-        self.is_closing = False  # set by the loop: told to close, further input is not taken in
+        self.is_closing = False  # set by the loop: a close was requested, further input is not taken in
         self.inbox = inbox
         self.heard_at = 0  # set by the loop: when it processed the last message
         self.has_spoken = False  # set by the loop: whether there was a message
@@ -211,7 +211,7 @@
                     self.close()  # the reader reports the end, which ends the attempts on this connection
                 if not data or self._output_closed:
                     return True
-            if self._outbox_bytes + len(data) <= self.outbox_most and self._ensure_writer():
+            if self._outbox_bytes + len(data) <= self.max_outbox_bytes and self._ensure_writer():
                 self._outbox.append((set_up, data))
                 self._outbox_bytes += len(data)
                 return True
@@ -368,7 +368,7 @@
             self._enqueue(message, self.wire_codec.size)
             del message  # else it would be kept in memory until the peer's next message
         now = time.monotonic_ns() // 1_000_000
-        if not self.wire_codec.begun():
+        if not self.wire_codec.has_partial_message():
             self._complete_by = 0
         elif any_complete or not self._complete_by:
             self._complete_by = now + self.message_timeout_ms
@@ -514,7 +514,7 @@
             link.on_freed = self._capacity.release
             link.message_timeout_ms, link.first_byte_timeout_ms = MESSAGE_TIMEOUT_MS, FIRST_BYTE_TIMEOUT_MS
             link.first_message_deadline_ms = time.monotonic_ns() // 1_000_000 + FIRST_MESSAGE_TIMEOUT_MS
-            link.outbox_most, link.read_size = MAX_CALLER_OUTBOX_BYTES, CALLER_READ_SIZE
+            link.max_outbox_bytes, link.read_size = MAX_CALLER_OUTBOX_BYTES, CALLER_READ_SIZE
             self._inbox.put(Opened(link))
             try:
                 link.start(timeout_s=1.0)  # waits for a thread: the caller's set-up would be lost otherwise
@@ -579,7 +579,7 @@
         try:
             sock = socket.create_connection(parse_address(address), timeout=timeout_us / 1e6)
             link = Link(sock, inbox, owner, wire_codec)
-        except Exception as exc:  # on any error the loop must be told, or it waits for ever
+        except Exception as exc:  # on any error the loop must be notified, or it waits for ever
             inbox.put(DialFailed(owner, isinstance(exc, ConnectionRefusedError)))
             return
         inbox.put(Opened(link))
--- a/wickstep/net/softswitch.py
+++ b/wickstep/net/softswitch.py
@@ -229,7 +229,7 @@
     address: str
     number: int
     state: ServerState
-    born: int  # start of its process; 0: long ago or unknown
+    started_at: int  # start of its process; 0: long ago or unknown
     link: Link | None = None
     linked_at: int = 0  # when that connection was opened
     # How soon the first message about a set-up is due, where the protocol has such a limit.
@@ -302,14 +302,14 @@
         self.counters: Counter[str] = Counter()
         self.list_known = False
         self.mode = Mode()
-        self.stopping_at = 0  # when the process began to stop or to hand over
-        self.tally = ResultCounts(tuple(config.classes))
+        self.stop_began_at = 0  # when the process began to stop or to hand over
+        self.result_counts = ResultCounts(tuple(config.classes))
         self.inherited_calls = InheritedCalls()
         self.recorder = CallRecorder()  # records each call in the journal, if one is kept
 
     def born_ms(self, server: Server) -> int:
         """Start of a server in Unix milliseconds, as in the pool list; 0: long ago or unknown."""
-        return (server.born + self.unix_offset) // MS if server.born else 0
+        return (server.started_at + self.unix_offset) // MS if server.started_at else 0
 
     def schedule(self, due: int, callback: Callable[[], None]) -> None:
         heapq.heappush(self.timers, (due, next(self.timer_order), callback))
@@ -325,19 +325,19 @@
         # Called when a call is no longer open.
         self.on_call_closed: Callable[[int], None] = lambda controller_id: None
         # Releases for which no connection was open, each with the peer id of its caller.
-        self.unsent: deque[tuple[str, Release]] = deque(maxlen=MAX_PENDING_RELEASES)
+        self.undelivered: deque[tuple[str, Release]] = deque(maxlen=MAX_PENDING_RELEASES)
 
     def send_final_answer(self, call: Call, message: Answer | Release, kind: str) -> bool:
         """Send the final answer of a call; False if it has had one already."""
         if not self._close_call(call):
             return False
         self.shared.counters[f"answered_{kind}"] += 1
-        self.shared.tally.count_result(call.klass, kind)
+        self.shared.result_counts.count_result(call.klass, kind)
         log.info("%016x answered: %s", call.call_id, kind)
         if isinstance(message, Answer):
             call.caller.had_call = True
         else:
-            self.remember(call.call_id)
+            self.record_ended_call(call.call_id)
         if not call.caller.send(message):
             self.shared.counters["answers_undeliverable"] += 1
         return True
@@ -347,7 +347,7 @@
         if self._close_call(call):
             self.shared.counters["callers_left"] += 1
             # The caller may set it up again if its connection was closed.
-            self.remember(call.call_id, answered=False)
+            self.record_ended_call(call.call_id, answered=False)
 
     def _close_call(self, call: Call) -> bool:
         """Remove a call from the tables of open calls; False if it is in none of them."""
@@ -365,7 +365,7 @@
 
     def send_release(self, release: Release, caller: Link | None, peer_id: str = "") -> None:
         """Release a call that stood, on its caller's connection or another from the same peer."""
-        self.remember(release.call)
+        self.record_ended_call(release.call)
         peer_id = caller.peer_id if caller is not None else peer_id
         for link in self._candidate_links(caller, peer_id):
             if link.is_closing:
@@ -378,7 +378,7 @@
                     del link.unconfirmed[next(iter(link.unconfirmed))]
                 self.shared.counters["releases_sent"] += 1
                 return
-        self.unsent.append((peer_id, release))
+        self.undelivered.append((peer_id, release))
 
     def _candidate_links(self, caller: Link | None, peer_id: str) -> Iterator[Link]:
         """Connections on which a release may be sent: the caller's own first, and rarely any after it."""
@@ -394,8 +394,8 @@
         if link in self.shared.calling_links:
             return
         self.shared.calling_links[link] = None
-        for _ in range(len(self.unsent)):
-            peer_id, release = self.unsent.popleft()
+        for _ in range(len(self.undelivered)):
+            peer_id, release = self.undelivered.popleft()
             self.send_release(release, link if link.peer_id == peer_id else None, peer_id)
 
     def resend_unconfirmed(self, link: Link) -> None:
@@ -405,7 +405,7 @@
             self.shared.counters["releases_sent_again"] += 1
             self.send_release(release, None, link.peer_id)
 
-    def remember(self, call_id: int, answered: bool = True) -> None:
+    def record_ended_call(self, call_id: int, answered: bool = True) -> None:
         now = self.shared.now
         self.ended_calls[call_id] = (now, answered)
         self.ended_calls.move_to_end(call_id)
@@ -541,7 +541,7 @@
         """Send the set-up of an attempt, or queue it for a connection; the only place where one is sent."""
         server, call = attempt.server, attempt.call
         if call.caller.has_left(call.call_id):
-            # The caller's release or end of connection is already queued for the loop: nobody waits any more.
+            # The caller's release or end of connection is already queued for the loop: no answer is awaited.
             self.shared.counters["attempts_spared"] += 1
             self.remove_attempt(attempt)
             self.book.close_unanswered(call)
@@ -715,7 +715,7 @@
             return
         server.refusals += failure.refused and server.link_lost
         if server.refusals == DEAD_AFTER_REFUSALS:
-            # After a reset nobody listens: the process has died, and its calls with it. The bulletin reports
+            # No process listens after the reset: it has died, and its calls with it. The bulletin reports
             # that only seconds later. One refusal is not enough: the last messages may still be on the way.
             self.cut_calls(server, self.shared.now, "reset, and refuses connections")
         self.schedule_redial(server)
@@ -977,7 +977,7 @@
             host = self.shared.inherited_calls.take(message.call)
             if host or (message.call not in self.book.ended_calls and self.book.may_be_inherited()):
                 # A call of this softswitch's previous run: the server that has it will recognise its id.
-                self.book.remember(message.call)
+                self.book.record_ended_call(message.call)
                 self.shared.recorder.call_ended(message.call)
                 for server in self.shared.servers.values():
                     if server.link is not None and host in (None, server.host):
@@ -985,7 +985,7 @@
             return False
         self.send.remove_attempt(attempt)
         self.shared.recorder.call_ended(message.call)
-        self.book.remember(message.call)
+        self.book.record_ended_call(message.call)
         self.shared.counters["calls_hung_up"] += 1
         link = attempt.server.link or attempt.link
         if link is not None:
@@ -1008,7 +1008,7 @@
             or shared.held_bytes > shared.config.max_held_bytes
         )
         if refusing or full:
-            # Say when to come back, where callers understand that: an immediate retry by them helps nobody.
+            # Say when to come back, where callers understand that: an immediate retry would not help them.
             settings = shared.config.settings
             retry_after_ms = settings.max_retry_after // (NS_PER_US * MS) if settings.heeds_retry_after else 0
             refusal = Release(call.call_id, Reason.CONGESTED, stay_away_ms=retry_after_ms)
@@ -1150,16 +1150,16 @@
         log.info("rejected malformed set-up: %s", error)
         self.shared.counters["answered_malformed"] += 1
         if message.klass in self.shared.config.classes:
-            self.shared.tally.count_result(self.shared.config.classes[message.klass], "malformed")
+            self.shared.result_counts.count_result(self.shared.config.classes[message.klass], "malformed")
         if message.call in link.calls:
-            self.drop(link)
+            self.close_link(link)
             return
         link.send(Release(message.call, Reason.MALFORMED))
         if not link.calls:
             link.is_closing = True
             link.finish()
 
-    def drop(self, link: Link) -> None:
+    def close_link(self, link: Link) -> None:
         """Close a caller's connection from this side: what still arrives on it is not taken in."""
         link.is_closing = True
         link.close()
@@ -1190,7 +1190,7 @@
                 if not link.has_unread():
                     count -= 1
                     shared.counters["callers_closed_for_room"] += 1
-                    self.drop(link)
+                    self.close_link(link)
 
     def answer_overdue(self, controller_id: int) -> None:
         """Fail a call whose deadline has passed, whatever the controller does: each is answered in time."""
@@ -1289,7 +1289,7 @@
         self.counts_requested = False
 
     def run(self) -> None:
-        """Serve until told to stop, then answer the open calls."""
+        """Serve until a stop is requested, then answer the open calls."""
         shared = self.shared
         self.route.handle_event(api.Started())
         self.send.reader.start()
@@ -1337,7 +1337,7 @@
             self.stop_requested
             and (transition := shared.mode.handle(self.operation.termination_event())).is_accepted
         ):
-            shared.stopping_at = shared.now
+            shared.stop_began_at = shared.now
             if transition.state is State.HANDING_OVER:
                 self.listener.close()  # new connections belong to the successor
         if self.reload_requested:
@@ -1386,7 +1386,7 @@
                 continue
             elif not link.has_unread():  # otherwise a set-up that has just come would be lost
                 shared.counters["callers_closed_unused"] += 1
-                self.take_in.drop(link)
+                self.take_in.close_link(link)
 
     def run_guarded(self, callback: Callable[[], None]) -> None:
         """Run a handler: an exception affects only its message or timer, never other calls."""
@@ -1450,7 +1450,7 @@
                 pass
             case _:
                 self.shared.counters["malformed"] += 1  # a message that only servers send
-                self.take_in.drop(link)
+                self.take_in.close_link(link)
 
     def handle_server_message(self, server: Server, link: Link, message: Message) -> None:
         match message:
@@ -1482,7 +1482,7 @@
         entries = []
         ended_processes: list[tuple[Server, int]] = []  # with the time until which it served
         for entry in update.listed_servers:
-            born = max(entry.born_ms * MS - shared.unix_offset, 1) if entry.born_ms else 0
+            started_at = max(entry.born_ms * MS - shared.unix_offset, 1) if entry.born_ms else 0
             server = shared.servers.get(entry.host)
             if server is None:
                 server = shared.servers[entry.host] = Server(
@@ -1490,14 +1490,16 @@
                     entry.address,
                     entry.number,
                     entry.state,
-                    born,
+                    started_at,
                     smoothed_delay=shared.min_aim // 4,
                 )
-            elif born > server.born:
-                ended_processes.append((server, born))
+            elif started_at > server.started_at:
+                ended_processes.append((server, started_at))
             server.address, server.number, server.state = entry.address, entry.number, entry.state
-            server.born = max(server.born, born)
-            entries.append(api.ServerEntry(entry.host, entry.number, server.born * NS_PER_US, entry.state))
+            server.started_at = max(server.started_at, started_at)
+            entries.append(
+                api.ServerEntry(entry.host, entry.number, server.started_at * NS_PER_US, entry.state)
+            )
         if update.is_complete:
             listed_hosts = {entry.host for entry in update.listed_servers}
             for server in shared.servers.values():
@@ -1520,9 +1522,9 @@
 
     def _is_finished(self) -> bool:
         shared = self.shared
-        if not shared.stopping_at:
+        if not shared.stop_began_at:
             return False
-        elapsed = shared.now - shared.stopping_at
+        elapsed = shared.now - shared.stop_began_at
         handing_over = shared.mode.state is State.HANDING_OVER
         max_time = (
             min(max(shared.config.max_waits), MAX_HANDOVER_TIME if handing_over else MAX_STOP_TIME)
--- a/wickstep/numbering/index.py
+++ b/wickstep/numbering/index.py
@@ -36,7 +36,7 @@
     """The entries in order, each as one integer that sorts by start, then by length, and carries the value.
 
     They are sorted in chunks and merged: sorting a million at once holds the interpreter's lock for most of a
-    second, during which a softswitch that loads a table answers nobody.
+    second, during which a softswitch that loads a table answers no caller.
     """
     chunks: list[list[int]] = [[]]
     for prefix, value in entries:
--- a/wickstep/numbering/reader.py
+++ b/wickstep/numbering/reader.py
@@ -380,7 +380,7 @@
         """Read a list of prefixes: lines `DIGITS,ROUTE`, as many as the settings say.
 
         The count detects a list that is copied only in part: with a part of the list, calls would take the
-        routes of shorter prefixes, and nobody would notice.
+        routes of shorter prefixes, without any error.
         """
         self._check_properties(node, "count")
         name = self._text_argument(node, 0)
--- a/wickstep/operation/draining.py
+++ b/wickstep/operation/draining.py
@@ -14,7 +14,7 @@
 MS = 1000  # microseconds, the unit of every time in this file
 SCAN_INTERVAL = 50 * MS  # between two checks of the connections while draining
 HEALTH_CHECK_DELAY = 400 * MS  # load balancer: a check each 0.1 s, no new callers 0.2 s after a failure
-MAX_KEEP_LAST = 3500 * MS  # 4 s after the command, no connection may be held idle
+MAX_RELEASE_WAIT = 3500 * MS  # 4 s after the command, no connection may be held idle
 MIN_IDLE_UNUSED = 500 * MS  # a connection without a call so far may be about to carry one
 MIN_IDLE_TESTER = 1000 * MS  # the same for one that asks whether this process is ready
 
@@ -54,7 +54,7 @@
     """Whether to close a connection now, `elapsed` microseconds after the state began."""
     if plan.close_from is None or elapsed < plan.close_from or connection.calls or connection.has_unread:
         return False
-    if connection.keeps_releases and elapsed < MAX_KEEP_LAST:
+    if connection.keeps_releases and elapsed < MAX_RELEASE_WAIT:
         return False
     if connection.carried_calls:
         return True
--- a/wickstep/operation/service.py
+++ b/wickstep/operation/service.py
@@ -83,7 +83,7 @@
             self.operator_server.close()
         if self.group is not None:
             book, standing = self.take_in.book, self.shared.standing
-            releases = [(release.call, release.reason) for _, release in book.unsent]
+            releases = [(release.call, release.reason) for _, release in book.undelivered]
             hosts_by_call = {call: attempt.server.host for call, attempt in standing.items()}
             self.group.leave(handover.encode(hosts_by_call, releases))
 
@@ -153,7 +153,7 @@
             )
             if draining.should_close(plan, elapsed, connection):
                 shared.counters["callers_sent_away"] += 1
-                self.take_in.drop(link)
+                self.take_in.close_link(link)
 
     def divide_budgets(self) -> None:
         """Divide one softswitch's budgets among its processes.
@@ -264,4 +264,4 @@
         }
         if shared.recorder.is_kept is not None:
             values[metrics.JOURNAL] = int(shared.recorder.is_kept)
-        return metrics.format_metrics(shared.tally, values)
+        return metrics.format_metrics(shared.result_counts, values)
--- a/wickstep/recovery/call_recovery.py
+++ b/wickstep/recovery/call_recovery.py
@@ -52,7 +52,7 @@
         shared.inherited_calls.on_taken = self._on_call_taken
         for call, state in result.live.items():
             if state.host and state.phase is not Phase.STANDS:  # may have been set up: must not be sent again
-                self.take_in.book.remember(call)
+                self.take_in.book.record_ended_call(call)
         now, jitter = shared.now, self._random.random()
         self.reconciler = Reconciler(result.live, now, self._settle_rate, self._confirm_us, jitter)
         self._release_until = now + self._confirm_us + PENDING_RELEASE_TIMEOUT_US
--- a/wickstep/recovery/jitter.py
+++ b/wickstep/recovery/jitter.py
@@ -1,4 +1,4 @@
-"""Random delays of what all softswitches would otherwise do at once, after a common start or common news.
+"""Random delays of what all softswitches would otherwise do at once, after a common start or list update.
 
 This file owns those draws. It must never do I/O or read a clock: it is given a source of random numbers and
 returns how long to wait. Nothing that a caller waits for may be delayed by it.
@@ -21,7 +21,7 @@
 def draw_list_delay_s(random: Random, list_known: bool, grace_s: float) -> float:
     """Seconds before the first poll for the list; 0 if no server is known without it.
 
-    `grace_s`: for how long a server may still be sent set-ups after it was told to go.
+    `grace_s`: for how long a server may still be sent set-ups after it was told to drain.
     """
     return random.random() * min(LIST_JITTER_S, grace_s / 2) if list_known else 0.0
 
--- a/wickstep/rehearsal/launcher.py
+++ b/wickstep/rehearsal/launcher.py
@@ -1,5 +1,5 @@
 """Starts softswitches for a rehearsal, in a process of its own: each start takes tens of milliseconds, during
-which stand-ins in the same process would answer nobody.
+which stand-ins in the same process would answer no one.
 
     python -m wickstep.rehearsal.launcher
 
--- a/wickstep/rehearsal/relay.py
+++ b/wickstep/rehearsal/relay.py
@@ -27,7 +27,7 @@
 
     FORWARD = "pass"
     DELAY = "keep"  # stalled or delayed: everything arrives later, in order
-    DROP = "lose"  # partition: nothing arrives, and neither end is told
+    DROP = "lose"  # partition: nothing arrives, and neither end is notified
     DROP_INBOUND = "lose in"  # half-open: what the softswitch sends is lost, what is sent to it arrives
     RESET = "break"  # each connection is reset, new ones too
 
--- a/wickstep/rehearsal/trace.py
+++ b/wickstep/rehearsal/trace.py
@@ -18,7 +18,7 @@
     ATTEMPT_ENDED = "ended"  # detail: stands, full, error, given up, link, cut
     CALL_ENDED = "over"  # the setup server ended a call that stood
     SERVER_COLLAPSED = "fell"  # a cold setup server was overloaded and ended; detail: by how many set-ups
-    STATE_ANNOUNCED = "heard"  # the list told a softswitch of a server's state; detail: draining, gone
+    STATE_ANNOUNCED = "heard"  # the list reported a server's state to a softswitch; detail: draining, gone
     LIST_REQUESTED = "listed"  # a softswitch requested the list of setup servers
     CONNECTED = "dialled"  # a softswitch connected to a setup server
     PROBED = "probed"  # a softswitch sent a probe to a setup server
