--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -18,8 +18,8 @@
 from wickstep.spread.reasons import SendReason
 
 EXAMPLES = Path(__file__).parent.parent / "examples" / "fleets"
-# Thirty softswitches with two or three calls per second each on average; two servers have few lines, one is
-# slow and has many.
+# Thirty softswitches with two or three calls per second each on average; two servers have few
+# free lines, one is slow and has many lines for its rate.
 SMALL_FLEET = FleetPlan(
     "small", 1, 30, 14.0,
     (
--- a/tests/test_number_stories.py
+++ b/tests/test_number_stories.py
@@ -381,7 +381,7 @@
     load_ended = threading.Event()
     calls = 300
 
-    answered: set[int] = set()  # their releases are no second final answer, on whichever connection
+    answered: set[int] = set()  # a release of these is no second final answer
 
     def read_answers(caller: Peer) -> None:
         caller.sock.settimeout(TIMEOUT_S)
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -50,8 +50,8 @@
 
 @pytest.mark.parametrize(("released", "rules"), [(3.51, []), (11.0, ["release"])])
 def test_a_stopped_softswitch_may_release_a_call_after_it_resumes(released: float, rules: list[str]) -> None:
-    """It passes on the answer and the release after its stop, the answer just after the end of the stop is
-    recorded. Without the stop, the same trace violates the rule."""
+    """It passes on the answer and the release only after it resumes: here it resumes at 3.5 s, and the answer
+    follows 1 ms later. Without the stop, the same trace violates the rule."""
     stop = (Event(1.15, EventKind.DOWN, 0), Event(3.5, EventKind.UP, 0))
     later_call = (
         Event(4.0, EventKind.SET_UP_SENT, 0, 8),
@@ -89,8 +89,8 @@
         ((SENT, LEFT, started(1.249), ended(1.3, "given up", "b")), []),
         ((SENT, LEFT, started(1.251), ended(1.3, "given up", "b")), ["left"]),
         ((SENT, STARTED, ended(1.15, "full"), LEFT, started(1.251), ended(1.3, "given up", "b")), ["left"]),
-        ((SENT, STARTED, LEFT, ended(1.2, "given up")), []),  # no answer is due after it has left,
-        ((SENT, LEFT, ANSWERED), ["lost"]),  # but none may be invented
+        ((SENT, STARTED, LEFT, ended(1.2, "given up")), []),  # no answer is due after the caller left
+        ((SENT, LEFT, ANSWERED), ["lost"]),  # answered, though no server has accepted it
         ((SENT, LEFT, Event(1.2, EventKind.LINK_FAULT, 0, detail="callers", value=1.0), started(1.251)), []),
         ((Event(5.0, EventKind.SERVER_COLLAPSED, -1, 0, "a", "20 at 3 a second"),), ["cold"]),
         ((SENT, STARTED, ACCEPTED, ANSWERED, ENDED), ["release"]),
--- a/wickstep/fleet/model.py
+++ b/wickstep/fleet/model.py
@@ -1,4 +1,5 @@
-"""Runs a plan: the softswitches, their servers and callers, and the events; fills the record of spread.
+"""Runs a plan: the softswitches, their servers and callers, and the events; fills the record that the
+measures of spread read.
 
 This file owns the course of a run. The same plan gives the same record: all randomness comes from the plan's
 seed, and no clock but the virtual one is read.
@@ -25,7 +26,8 @@
 
 ControllerFactory = Callable[[api.Settings, int], Controller]
 
-# Share of the callers; factors on the plan's aim, wait and holding time; worth; share of the worth if late.
+# Of each class: share of the callers; factors on the plan's aim, wait and holding time; worth of a call;
+# share of that worth if it is late.
 CALL_CLASSES = (
     (0.73, 1.0, 1.0, 1.0, 1.0, 0.1),
     (0.05, 0.8, 0.67, 0.6, 6.0, 0.25),
--- a/wickstep/fleet/plan.py
+++ b/wickstep/fleet/plan.py
@@ -26,7 +26,7 @@
     lines: int = 1000
     queue_s: float = 3.0  # a set-up is refused while the queueing delay is longer
     round_trip_s: float = 0.007  # network round trip between a softswitch and the server
-    choice_weight: float = 1.0  # of callers that have it as their first choice, relative to its rate
+    choice_weight: float = 1.0  # how many callers have it as their first choice, relative to its rate
     initial_occupancy: float = 0.5  # share of the lines that calls from before the start of the run occupy
 
 
--- a/wickstep/forms.py
+++ b/wickstep/forms.py
@@ -94,7 +94,7 @@
         nodes = Parser().parse(text).nodes
     except ParseError as error:
         raise KdlError(f"not KDL: {error}") from None
-    except (ValueError, ArithmeticError, RecursionError, IndexError) as error:  # 1e999, endless nesting
+    except (ValueError, ArithmeticError, RecursionError, IndexError) as error:  # 1e999, deep nesting
         raise KdlError(f"not KDL: {error!r}") from None
     if len(nodes) != 1 or nodes[0].name != name:
         raise KdlError(f"expected exactly one node `{name}` at the top level")
--- a/wickstep/megaco/messages.py
+++ b/wickstep/megaco/messages.py
@@ -96,7 +96,7 @@
 class Message:
     mid: str  # message identifier of the sender
     transactions: list[Transaction] = field(default_factory=list)
-    error: ErrorDescriptor | None = None  # stands in place of transactions
+    error: ErrorDescriptor | None = None  # the message then has no transactions
     version: int = 3
 
 
@@ -185,7 +185,8 @@
 
 
 def _parse_actions(items: list[Node], in_reply: bool) -> list[Action]:
-    """The text of the Malformed raised for a request goes into the error descriptor that answers it."""
+    """The actions of a request or reply; raises Malformed. For a request, the text of that is sent in the
+    error descriptor of the reply."""
     if not items:
         raise Malformed("no action")
     count = 0
--- a/wickstep/numbering/enum_dns.py
+++ b/wickstep/numbering/enum_dns.py
@@ -146,7 +146,7 @@
     ) -> None:
         self._address, self._suffix, self._on_result = address, suffix, on_result
         self._queue: SimpleQueue[QueryRequest | None] = SimpleQueue()  # at most the settings' `outstanding`
-        self._send_lock = threading.Lock()  # held while writing: prevents closing the descriptor
+        self._send_lock = threading.Lock()  # held while writing, so that the descriptor stays open
         self._lock = threading.Lock()  # guards the attributes below
         self._sock: socket.socket | None = None
         self._outstanding: dict[int, QueryRequest] = {}  # by message id
--- a/wickstep/numbering/index.py
+++ b/wickstep/numbering/index.py
@@ -19,7 +19,7 @@
 
 from wickstep.numbering import digits
 
-NO_ENTRY = 0xFFFFFFFF  # in place of a position; so an index holds fewer entries than this
+NO_ENTRY = 0xFFFFFFFF  # stands for "no position"; an index therefore holds at most this many entries
 MAX_CODE = (1 << 64) - 1
 SORT_CHUNK_ENTRIES = 16_384  # sorted in one go, which takes some milliseconds
 
@@ -62,9 +62,8 @@
         """From (prefix, value) pairs in any order, with values below 2**32. Raises DuplicatePrefix."""
         self._starts, self._lengths = array("Q"), array("B")
         self._values, self._parents = array("I"), array("I")
-        enclosing: list[
-            int
-        ] = []  # positions of the entries that enclose the present one, the outermost first
+        # Positions of the entries that enclose the present one, the outermost first.
+        enclosing: list[int] = []
         for pos, item in enumerate(_sort_entries(entries)):
             start, length, value = item >> 37, item >> 32 & 31, item & 0xFFFFFFFF
             while (
--- a/wickstep/numbering/schedule.py
+++ b/wickstep/numbering/schedule.py
@@ -21,8 +21,8 @@
 WEEKDAYS = ("mon", "tue", "wed", "thu", "fri", "sat", "sun")
 MINUTES_PER_DAY = 24 * 60
 TIME_OF_DAY = re.compile(r"(\d\d):(\d\d)", re.ASCII)
-MAX_UNIX_S = 253_402_214_400  # the last day of datetime, less one day for the zones east of Greenwich
-MAX_EXCEPTION_DATES = 4000  # of one schedule: ten years of days
+MAX_UNIX_S = 253_402_214_400  # the end of year 9999, less a day for the zones east of Greenwich
+MAX_EXCEPTION_DATES = 4000  # of one schedule: more than ten years of days
 
 
 @dataclass(slots=True, frozen=True)
--- a/wickstep/numbering/table.py
+++ b/wickstep/numbering/table.py
@@ -311,16 +311,17 @@
 
     The nodes are the prefixes that translate. Of a translated number the head is known: the prepended digits
     and what remains of the prefix. Whatever digits follow, the next prefix is an extension of this head, or
-    the longest prefix of it, or one enclosing that if its rule does not allow every length. These are the
-    edges. Any cycle is refused, even one that would end because the number grows too long or too short:
-    operators must be able to follow by eye what is in service.
+    the longest prefix of it, or, if the rule of that one does not allow every length, the next shorter one,
+    and so on. These are the edges. Any cycle is refused, even one that would end because the number grows too
+    long or too short: operators must be able to follow by eye what is in service.
     """
     translating.sort()
     prefixes = [prefix for prefix, _, _ in translating]
     position_of = {prefix: position for position, prefix in enumerate(prefixes)}
     state = [0] * len(prefixes)  # 0: not visited, 1: on the path, 2: done
     on_path: list[int] = []  # sorted positions
-    skip = list(range(len(prefixes) + 1))  # leads to the next position that is not done; paths are halved
+    # Leads to the next position that is not done: a union-find structure with path halving.
+    skip = list(range(len(prefixes) + 1))
 
     def next_not_done(position: int) -> int:
         while skip[position] != position:
--- a/wickstep/recovery/call_recovery.py
+++ b/wickstep/recovery/call_recovery.py
@@ -24,7 +24,8 @@
 
 STEP_INTERVAL_US = 50_000
 MAX_PENDING_RELEASES = 5000  # releases that wait for a connection to their servers
-PENDING_RELEASE_TIMEOUT_US = 60_000_000  # releases for a server that is not connected by then are dropped
+# Counted from the end of the confirm time. A server that is not connected by then gets none of its releases.
+PENDING_RELEASE_TIMEOUT_US = 60_000_000
 
 
 class CallRecovery:
@@ -99,7 +100,7 @@
                     self.take_in.book.send_release(Release(call, Reason.INTERRUPTED), None)
                 if step.verdict is Verdict.RELEASED:
                     self._queue_release(host, call)
-                return  # the journal ends it when its caller has confirmed the release
+                return  # its end is journaled once its caller has confirmed the release
             case Verdict.GIVEN_UP:
                 self._queue_release(host, call)
         self.journal.call_ended(call)
--- a/wickstep/recovery/jitter.py
+++ b/wickstep/recovery/jitter.py
@@ -4,18 +4,20 @@
 returns how long to wait. Nothing that a caller waits for may be delayed by it.
 
 The delays bound the load of a whole fleet: of n softswitches that start at once, n * 0.1 / LIST_JITTER_S poll
-for the pool list in the same tenth of a second (14 in a hundred), and ever fewer from then on, as the hold
-time of each poll is drawn too. A change that is published meanwhile is received `LIST_JITTER_S` late at most,
-and within half of the grace time of the settings: where that is short, a fleet's polls lie closer together.
+for the pool list in the same tenth of a second (14% of the fleet), and ever fewer from then on, as the hold
+time of each poll is drawn too. A change that is published during the first delay is received `LIST_JITTER_S`
+late at most, and never later than half of the drain grace time: where that is short, the polls of a fleet lie
+closer together.
 """
 
 from __future__ import annotations
 
 from random import Random
 
-LIST_JITTER_S = 0.7  # before the first poll, if a list is known from the start
-LIST_HOLD_MS = (1600, 2400)  # how long a poll may be held; a dead connection is noticed a second later
-DIAL_JITTER_US = 500_000  # before connections that no set-up waits for
+LIST_JITTER_S = 0.7  # longest delay of the first poll, which is delayed only if a list is already known
+# How long a poll may be held. An answer may take one second more, after which the connection counts as dead.
+LIST_HOLD_MS = (1600, 2400)
+DIAL_JITTER_US = 500_000  # longest delay of a connection that no set-up waits for
 
 
 def draw_list_delay_s(random: Random, list_known: bool, grace_s: float) -> float:
--- a/wickstep/recovery/journal.py
+++ b/wickstep/recovery/journal.py
@@ -27,7 +27,7 @@
 log = logging.getLogger(__name__)
 
 SEGMENT_NAME = re.compile(r"calls-(\d{1,18})")
-MAX_SEGMENTS = 64  # read by a replay, the last ones by name
+MAX_SEGMENTS = 64  # a replay looks only at this many segments, the last ones by name
 SEGMENT_FRACTION = 3  # a segment gets a third of the limit on bytes, since two exist during a rotation
 SYNC_INTERVAL_S = 0.05
 RETRY_AFTER_US = 10_000_000  # after a failure
@@ -88,7 +88,10 @@
 
 
 class Journal(CallRecorder):
-    """Used by the loop's thread. `unix_offset_us` is added to the loop's clock to get Unix time."""
+    """All methods but `_sync_loop` and `_delete_obsolete` are called by the loop's thread only.
+
+    `unix_offset_us` is added to the loop's clock to get Unix time.
+    """
 
     def __init__(
         self, folder: Path, softswitch: str, max_bytes: int, sync: str, unix_offset_us: int = 0
@@ -104,11 +107,13 @@
         self._segment_bytes = self._snapshot_bytes = 0  # of the current segment
         self._buffer = bytearray()
         self._now = self._retry_at = 0
-        self._lock = threading.Lock()  # guards the descriptor: it must not be replaced while it is duplicated
+        # Guards `_obsolete` and the descriptor, which must not be closed while the sync thread duplicates it.
+        self._lock = threading.Lock()
         self._is_unsynced = False
-        self._obsolete: list[Path] = []  # segments to delete once the new one is synced
+        # Older segments, deleted once the new one is synced, or with SYNC_NEVER once it is written.
+        self._obsolete: list[Path] = []
         self.failures = self.bytes_written = 0
-        self._unconfirmed: deque[tuple[int, int]] = deque()  # since when, which call
+        self._unconfirmed: deque[tuple[int, int]] = deque()  # since when it waits, which call
 
     def open(self, now: int) -> ReplayResult:
         """Replay what is there, and start a segment with a snapshot of it."""
@@ -216,7 +221,7 @@
                 os.close(descriptor)
 
     def _start_segment(self) -> None:
-        """Start the next segment. Older ones are deleted once its snapshot is complete."""
+        """Start the next segment with a snapshot. Older ones are deleted only when that is complete."""
         try:
             names = [*filter(SEGMENT_NAME.fullmatch, os.listdir(self._folder))]
             older = [self._folder / name for name in names if self._is_own(self._folder / name)]
--- a/wickstep/recovery/learned.py
+++ b/wickstep/recovery/learned.py
@@ -29,7 +29,7 @@
 
 
 class InvalidState(ValueError):
-    """Stored state that is malformed, or of an unusable age; the text says why."""
+    """Stored state that is malformed, from the future or another softswitch's; the text says why."""
 
 
 @dataclass(slots=True, frozen=True)
--- a/wickstep/recovery/reconciliation.py
+++ b/wickstep/recovery/reconciliation.py
@@ -2,7 +2,7 @@
 
 This file owns those decisions, their order and their rate. It must never do I/O or read a clock, never let a
 call be sent again, and never end one that its server may still be serving before the configured time.
-Times in microseconds of the host's clock; Unix milliseconds for the start of a server.
+Times are microseconds of the loop's clock, but the start of a server is in Unix milliseconds.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 CONFIRM_AFTER_S = 1.0  # a newly connected server reports first, and within this time, which calls have ended
 START_JITTER_S = 0.5  # 200 softswitches that restart together begin at random times within this
 BURST_S = 0.1  # depth of the token bucket, as time at the settle rate
-MAX_EXAMINED = 2000  # calls per step, as the loop has others to serve
+MAX_EXAMINED = 2000  # calls per step, as the loop has to serve other calls meanwhile
 
 
 @dataclass(slots=True, frozen=True)
--- a/wickstep/recovery/records.py
+++ b/wickstep/recovery/records.py
@@ -1,4 +1,4 @@
-"""The format of the journal of calls: segments that name their owner, of records that each carry a checksum.
+"""The format of the journal of calls: each segment names its owner, and each of its records has a checksum.
 
     segment = magic:8 owner:8 number:8 crc:4, then records; the first ones are a snapshot, which LIVE ends
     record  = crc:4 length:2 kind:1 content      the crc covers all that follows it; big-endian
@@ -33,7 +33,7 @@
     SERVER = 1  # assigns a number to a host and its start
     TAKEN = 2
     SENT = 3  # an attempt is sent; with the time in Unix milliseconds
-    OVER = 4  # the attempt has ended, but not the call; or a standing call is over, its caller not notified
+    OVER = 4  # the attempt has ended, but not the call; or a standing call is over, its caller to be notified
     STANDS = 5
     ENDED = 6  # neither the caller nor a server is owed anything any more
     LIVE = 7  # end of the snapshot of the calls that were live when the segment began
--- a/wickstep/rehearsal/judge.py
+++ b/wickstep/rehearsal/judge.py
@@ -14,7 +14,7 @@
 
 from wickstep.rehearsal.trace import Event, EventKind, Trace
 
-RETRY_PAUSE_S = 0.2  # no new attempt of a call so soon after a time-out, reset or cancel
+RETRY_PAUSE_S = 0.2  # no new attempt of a call within this time after a time-out, reset or cancel
 DRAIN_GRACE_S = 2.0  # no set-up to a server later than this after its draining or end was announced
 MAX_ATTEMPTS = 5
 TOLERANCE_S = 0.05  # added to each time limit for the way through the sockets
--- a/wickstep/rehearsal/loop.py
+++ b/wickstep/rehearsal/loop.py
@@ -1,7 +1,7 @@
 """The event loop of a rehearsal: one thread serves the sockets and timers of all stand-ins.
 
-It must never block on one socket. An error in a stand-in ends the rehearsal, since the judge would draw wrong
-conclusions from a broken stand-in.
+This file owns the timers and the waiting for sockets. It must never block on one socket. An error in a
+stand-in ends the rehearsal, since the judge would draw wrong conclusions from a broken stand-in.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
     @property
     def elapsed_s(self) -> float:
-        """Seconds since the beginning of the rehearsal."""
+        """Seconds since `started_at`, which a rehearsal sets anew when all softswitches are ready."""
         return self.now - self.started_at
 
     def call_later(self, delay_s: float, callback: Callback) -> None:
--- a/wickstep/rehearsal/processes.py
+++ b/wickstep/rehearsal/processes.py
@@ -24,7 +24,9 @@
 from wickstep.rehearsal.loop import Loop
 
 PORT_RANGE = range(20000, 32000)
-NICENESS = 10  # of softswitches: a stand-in that has to wait for a CPU would look like a slow peer
+# Of softswitches, which share the machine with the stand-ins: a stand-in that has to wait for a CPU would
+# look like a slow peer.
+NICENESS = 10
 LAUNCHER_COUNT = 4
 ROOT = Path(__file__).parent.parent.parent
 
--- a/wickstep/rehearsal/report.py
+++ b/wickstep/rehearsal/report.py
@@ -14,16 +14,18 @@
 from wickstep.rehearsal.scenario import Scenario
 from wickstep.rehearsal.trace import EventKind, Trace
 
-FULL_SERVICE_RATIO = 0.95  # full service: this part of the mean share served before the first fault,
-FULL_SERVICE_S = 3  # in so many consecutive seconds
-PEAK_WINDOW_S = 0.1  # in which connections and list requests are counted
+# Service is full again when the share of calls served in time is at least FULL_SERVICE_RATIO of its mean
+# before the first fault, in each of FULL_SERVICE_S consecutive seconds.
+FULL_SERVICE_RATIO = 0.95
+FULL_SERVICE_S = 3
+PEAK_WINDOW_S = 0.1  # span in which connections and list requests are counted
 
 
 @dataclass(slots=True)
 class Second:
     """What became of the calls that were offered in one second."""
 
-    offered: int = 0  # with those that no softswitch took
+    offered: int = 0  # including calls that no softswitch took
     in_time: int = 0  # answered within the scenario's aim_s
     late: int = 0  # answered after that
     refused: int = 0
--- a/wickstep/rehearsal/scenario.py
+++ b/wickstep/rehearsal/scenario.py
@@ -1,6 +1,6 @@
 """The script of a rehearsal: which peers there are, who calls, and which fault comes when, read from KDL.
 
-This file owns that form. Fields that are read from a property have the name of its key. It must never open a
+This file owns that format. A field that is read from a property has the name of its key. It must never open a
 file, start anything or read a clock.
 """
 
@@ -29,7 +29,9 @@
     queue_s: float = 1.0  # a set-up that would wait longer is refused
     cold_from: float = 0.35  # part of its rate at the start; rises linearly to the whole within cold_s
     cold_s: float = 5.0
-    fall_multiple: float = 2.5  # while cold it collapses under more than so many times its rate in fall_s
+    # While cold it collapses if more than 5 set-ups, and more than `fall_multiple` times as many as its
+    # present rate allows, arrive within `fall_s`.
+    fall_multiple: float = 2.5
     fall_s: float = 1.5
     links_most: int = 1000  # connections, over all softswitches
 
@@ -39,18 +41,19 @@
     """Callers and load balancer; times in seconds, rates a second."""
 
     rate: float = 60.0  # first tries, over all softswitches
-    wait_s: float = 2.0  # a caller waits so long for its final answer
+    wait_s: float = 2.0  # how long a caller waits for its final answer
     aim_s: float = 0.5  # an answer within this counts as in time
     hold_s: float = 1.0  # mean duration of a call that stands
     spread: float = 1.0  # load of the busiest softswitch over the mean
-    notice_s: float = 1.0  # the load balancer still sends to a softswitch so long after its death
+    notice_s: float = 1.0  # how long the load balancer still sends to a softswitch that has died
     leave: float = 0.0  # part of the callers that leave before their answer, within aim_s
     again: bool = False  # set-ups that were open when their connection ended are sent again, same call ids
 
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """One fault, on a random `part` of the softswitches, or on those whose number modulo `of` is `group`."""
+    """One fault, on a `part` of the softswitches that the scenario's seed draws, or on those whose number
+    modulo `of` is `group`."""
 
     at: float
     kind: str
@@ -59,7 +62,7 @@
     of: int = 1
     for_s: float = 0.0
     server: int = -1  # on the links to this one only, or the one that is replaced or drained; -1: all
-    back_s: float = 0.1  # a killed process is started again after so long
+    back_s: float = 0.1  # time after which a killed process is started again
     delay_s: float = 0.0
 
 
@@ -73,7 +76,7 @@
     callers: CallerPlan = field(default_factory=CallerPlan)
     faults: tuple[Fault, ...] = ()
     keeps_state: bool = False  # softswitches have a folder for what they learn
-    keeps_calls: bool = False  # and in it a journal of calls
+    keeps_calls: bool = False  # softswitches also keep a journal of calls in that folder
 
 
 def read(text: str) -> Scenario:
--- a/wickstep/rehearsal/servers.py
+++ b/wickstep/rehearsal/servers.py
@@ -238,8 +238,8 @@
     def __init__(self, loop: Loop, network: Network, trace: Trace, softswitches: int) -> None:
         self.loop, self.network, self.trace = loop, network, trace
         self.listeners = {n: Listener(loop, partial(self._on_connection, n)) for n in range(softswitches)}
-        self.events: list[Callable[[int], dict[str, Any]]] = []  # from the softswitch's number to its event
-        self.waiting: list[tuple[ProxyConnection, int, int]] = []  # long polls: connection, softswitch, after
+        self.events: list[Callable[[int], dict[str, Any]]] = []  # each makes the event for a softswitch
+        self.waiting: list[tuple[ProxyConnection, int, int]] = []  # connection, softswitch, last event
         self.unix_start = time.time() - loop.elapsed_s
 
     def publish(self, servers: list[SetUpServer], whole: bool = False) -> None:
--- a/wickstep/rehearsal/trace.py
+++ b/wickstep/rehearsal/trace.py
@@ -15,7 +15,7 @@
     CONNECTION_LOST = "gone"  # the caller's connection ended without a final answer
     RELEASE_RECEIVED = "told"  # the caller read a release after the final answer
     ATTEMPT_STARTED = "came"  # an attempt arrived at a setup server; value: set-ups a second it can do then
-    ATTEMPT_ENDED = "ended"  # detail: stands, full, error, given up, link, cut
+    ATTEMPT_ENDED = "ended"  # an attempt ended at a setup server; detail: stands, full, given up, link, cut
     CALL_ENDED = "over"  # the setup server ended a call that stood
     SERVER_COLLAPSED = "fell"  # a cold setup server was overloaded and ended; detail: by how many set-ups
     STATE_ANNOUNCED = "heard"  # the list reported a server's state to a softswitch; detail: draining, gone
@@ -24,14 +24,14 @@
     PROBED = "probed"  # a softswitch sent a probe to a setup server
     DOWN = "down"  # a softswitch was killed or stopped
     UP = "up"  # a softswitch passed a test, or was resumed
-    LINK_FAULT = "broke"  # a link fault began; detail: callers, servers; value: seconds it counts
+    LINK_FAULT = "broke"  # a link fault began; detail: callers, servers; value: seconds for which it excuses
     CALLER_LEFT = "left"  # a caller left before its final answer; detail: given up, closed, reset
-    NOT_SENT = "missed"  # no softswitch took the call's connection
+    NOT_SENT = "missed"  # a call was not sent: no softswitch had passed its test, or the connection failed
 
 
 @dataclass(slots=True, frozen=True)
 class Event:
-    at: float  # seconds since the beginning of the rehearsal
+    at: float  # seconds since all softswitches were ready
     kind: EventKind
     softswitch: int
     call: int = 0
