--- a/benchmarks/prefixes.py
+++ b/benchmarks/prefixes.py
@@ -134,8 +134,8 @@
         # The peak resident memory of this program alone: ru_maxrss would include that of its parent.
         code += "status = lambda: open('/proc/self/status').read()\n"
         code += "most = lambda: int(re.search(r'VmHWM:\\s+(\\d+)', status())[1]) / 1024\n"
-        code += "start = most(); first = stage.load(Path(sys.argv[1])); once = most()\n"
-        code += "second = stage.load(Path(sys.argv[1])); print(start, once - start, most() - start)"
+        code += "start = most(); first = stage.load_table(Path(sys.argv[1])); once = most()\n"
+        code += "second = stage.load_table(Path(sys.argv[1])); print(start, once - start, most() - start)"
         completed = subprocess.run(
             [sys.executable, "-c", code, str(path)], capture_output=True, text=True, check=True
         )
