--- a/tests/test_agents.py
+++ b/tests/test_agents.py
@@ -42,7 +42,10 @@
 def test_overflow_gets_a_line_only_if_worth_more_than_first_choice_calls_pay(
     klass: int, free: int, sent: bool
 ) -> None:
-    """The least worth pays `AWAY_FACTOR` / (1 + free * sqrt(2 / pi / 40)) of itself: below 1 from 4 free."""
+    """The price is the lowest worth * `AWAY_FACTOR` / (1 + free * sqrt(2 / pi / 40)).
+
+    A call of the lowest worth pays it once that factor is below 1, which is so from 4 free lines on.
+    """
     host = make_host()
     host.report_lines(s0=(0, 40), s1=(free, 40))
     assert (sent_servers(host.new_call(1, klass, first=0)) == ["s1"]) is sent
--- a/tests/test_operation_stories.py
+++ b/tests/test_operation_stories.py
@@ -300,4 +300,4 @@
     server_peer.send(Answer(0x510, b"accept"))
     slow.receive(Answer, 0x510)
     assert incomplete.wait_closed()
-    assert time.monotonic() - started < 3.5  # the limit is 3 s, the rest is for a busy machine
+    assert time.monotonic() - started < 3.5  # 3 s are allowed, and 0.5 s for a busy machine
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,8 @@
-"""The five rules over random histories, checked independently of the controller."""
+"""The rules for every call over random histories, checked independently of the controller.
+
+A call has one final answer by its deadline, one attempt in flight and at most `max_attempts`; nothing is sent
+to a draining or gone server or within the release wait. Cold servers get no more than their budget.
+"""
 
 from __future__ import annotations
 
--- a/wickstep/benchlink.py
+++ b/wickstep/benchlink.py
@@ -206,7 +206,7 @@
             _require_fields(fields, 7)
             if fields[0] != "ENTRY":
                 raise ValueError("expected an ENTRY line")
-            float(fields[7])
+            float(fields[7])  # only checked: the controller does not use it
             started = _parse_integer(fields[3])
             return api.ServerEntry(fields[2], int(fields[1]), started, SERVER_STATES[fields[6]])
         except (ValueError, KeyError) as error:
--- a/wickstep/brain.py
+++ b/wickstep/brain.py
@@ -1,4 +1,4 @@
-"""The edge controller: it admits and routes calls, and never touches a clock, a socket or a file.
+"""All decisions of an edge proxy, with the types of interface.py. Must never touch a clock, socket or file.
 
 The mechanism is loss-based overload control after Rogowski and Tarasiuk; docs/design.md lists each departure.
 """
@@ -24,25 +24,25 @@
 EWMA_WEIGHT = 0.8  # weight of the newest sample in the smoothed occupancy
 TARGET_RHO = 0.95  # occupancy aimed at
 P_MIN = 0.02  # lowest pass share: an overloaded server still gets some set-ups, so its recovery is seen
-MAX_SAMPLE = 4.0  # highest occupancy sample: a longer wait is congestion already and presses no harder
+MAX_SAMPLE = 4.0  # highest occupancy sample: at 4 it is congestion already, and a longer wait adds nothing
 MAX_STEP = 1.25  # largest factor of one step of the pass share: waits come late, a faster loop oscillates
 AIM_FRACTION = 0.35  # target set-up time: this far from an idle server's time to the shortest aim
-# Below it, if one set-up of each proxy fills an aim, evidence comes too late for a window to limit the load.
-LOW_RATE = 1.0  # own set-ups a second at one server
-LOW_RATE_AIM_FRACTION = 0.14  # AIM_FRACTION at a low rate: waits overshoot there, so less is aimed at
-AWAY_FACTOR = 1.5  # on the holding time away from the first choice, where calls last longer as a rule
+# If one set-up of each proxy fills the shortest aim, evidence is too late for a window to limit the load.
+LOW_RATE = 1.0  # own set-ups a second at one server: below it and in that case, its rate counts as low
+LOW_RATE_AIM_FRACTION = 0.14  # AIM_FRACTION at a low rate: waits overshoot there, so the target is lower
+AWAY_FACTOR = 1.5  # multiplies the holding time away from the first choice: calls usually last longer there
 MAX_TRIES = 5  # tries of one caller for one call; a number called more often has several callers
 MAX_CALLEES = 10_000  # numbers called that are remembered
 OVERFLOW_RHO = 0.85  # smoothed occupancy below which a server takes overflow from other first choices
-TIME_GROWTH = 1.002  # factor, per set-up, by which the shortest set-up time seen is forgotten
+TIME_GROWTH = 1.002  # the shortest set-up time seen grows by it with each set-up, so an old one is forgotten
 FAILURE_SAMPLE = 2.0  # occupancy sample of a refusal, a time-out or an error: twice a full server's
 SLOW_WEIGHT = 0.05  # EWMA weight of the newest value: own call rate (per T_m), loss, errors (per set-up)
-LOST_AFTER_PROBE_DELAYS = 3  # a probe queues at the processor once, a set-up twice: itself and its answer
+LOST_AFTER_PROBE_DELAYS = 3  # older set-ups are lost: a probe queues once, a set-up and its answer once each
 CANCEL_LOSS = 0.1  # part of set-ups lost above which one in flight for long is cancelled early
 FIRST_MARK = SECOND // 5  # skip mark after one 'processor full' or time-out
 MAX_MARK = 3 * SECOND  # longest skip mark of a server that keeps failing
 MAX_ERROR_RUN = 5  # errors and broken connections, with no call that stands between, that make a failure
-ERROR_LIMIT = 0.23  # part of set-ups met by errors above which it is the server: over MAX_ERROR_RUN in a row
+ERROR_LIMIT = 0.23  # part of set-ups with errors above which the server is at fault: six in a row pass it
 TRIALS_PER_S = 4  # trial set-ups a second to a server that keeps failing, from all proxies together
 SUSPECT_AFTER = 2  # failures in a row after which a server gets one trial set-up at a time
 EVIDENCE_LIFETIME = SECOND  # older evidence says nothing about the load now
@@ -52,7 +52,7 @@
 TAKEOVER_CAPACITY = 0.8  # part of its warm capacity from which on a successor takes over
 COLD_BURST_PART = 0.1  # part of the budget that may be saved for a burst; the rest accrues over the window
 PROBE_INTERVAL_TICKS = 5  # sampling intervals between probes of a server, where probes are allowed
-MIN_RATE = 0.1  # lowest rate assumed at a server: an idle one is tried again after the time of two set-ups
+MIN_RATE = 0.1  # lowest rate assumed at a server: an idle one is tried again after two set-ups' time
 EXPIRY = 60 * SECOND  # how long a server that left is remembered in case it comes back
 GOLDEN_SECTION = (math.sqrt(5) - 1) / 2  # step of the rotation: spreads evenly over any number of servers
 TICK_TOKEN = 0  # timer of the control loop; the timer of a call is its id + 1
@@ -174,7 +174,7 @@
         return record[0] if record[1] <= MAX_TRIES else self.now
 
     def _may_use_line(self, call: Call, server: Server) -> bool:
-        """Trunk reservation: a line is free, and the call worth what others pay (docs/design-agents.md)."""
+        """Trunk reservation: a line is free, and the call earns what others would (docs/design-agents.md)."""
         if not server.reported or server.free < 1 + (call.klass.aim > self.min_aim and server.lines > 1):
             return not server.reported
         hold = call.klass.holding_time * (1 if server.number == call.event.first_choice else AWAY_FACTOR)
@@ -191,7 +191,7 @@
         if candidates:  # a route list has its own order
             return sorted(usable, key=lambda s: (self._is_replaced(s), candidates.index(s.number)))
         others = [s for s in usable if s.number != first_choice and not call.event.transit]
-        # Weighted round robin: by lines per set-up time, and by free lines of those that have room.
+        # Weighted round robin: by free lines per set-up time where servers have room, else by lines.
         slowest = max((s.min_time for s in self.active), default=0.0) or 1.0
         sizes = [(s.lines + 1) / (s.min_time or slowest) for s in others]
         room = [size * self._has_room(s) for size, s in zip(sizes, others, strict=True)]
@@ -228,7 +228,7 @@
             if self._fits(server):
                 return self._send(call, server)
         may_wait = any(self._is_allowed(call, s) for s in self.active) and len(usable) >= bool(choices)
-        margin = call.klass.aim // (2 if choices else 10)  # lines come free soon, overload stays
+        margin = call.klass.aim // (2 if choices else 10)  # for a line it may wait longer: overload lasts
         if not may_wait or self.now >= min(call.aim_at, call.deadline) - margin:
             return self._refuse(call)
         self.queued[call.event.call] = call
@@ -255,7 +255,7 @@
         return not overloaded and (server.free > 0 or not server.lines)
 
     def _serve_queued(self, server: Server | None = None) -> None:
-        """Dispatch queued calls, maybe thousands; for one server, only while that can take more."""
+        """Dispatch queued calls (maybe thousands) by worth; for one server, only while that can take more."""
         queued = iter(sorted(self.queued.values(), key=self._estimate_worth, reverse=True))
         while not server or (self.may_try(server) and self._fits(server) and server.free >= server.reported):
             if (call := next(queued, None)) is None:
@@ -335,7 +335,7 @@
             self._record_outcome(server, event, written_off=server.open.pop(event.call, None) is None)
         call = self.calls.get(event.call)
         if call is not None and event.attempt == call.attempts - 1:
-            call.server, call.admitted = None, False  # a new draw: overload must not spread to others
+            call.server, call.admitted = None, False  # a new draw, or all its calls would overload others
             self._continue_call(call, event)
         self._serve_queued(server)
 
@@ -442,7 +442,7 @@
         if server.samples or pending > 1:
             sample = max(sum(server.samples) / max(len(server.samples), 1), pending)
         elif not server.open and self.now - server.sampled_at > idle_time:
-            sample = TARGET_RHO / 2  # no sooner, as own calls may bring evidence only every few seconds
+            sample = TARGET_RHO / 2  # idle; not sooner: own calls may bring evidence only every few seconds
         else:
             return
         server.samples.clear()
@@ -450,7 +450,7 @@
         server.has_new_sample = True
 
     def _step_share(self, server: Server) -> None:
-        """Step the share once per sample: repeats on an old one wind up hundreds of proxies' integrators."""
+        """Step the share on a new sample only: repeats on an old one wind up in hundreds of proxies."""
         if not server.has_new_sample:
             return
         server.has_new_sample = False
@@ -460,7 +460,7 @@
     # Cold servers: slow start by a token bucket, whose budget holds for the window of the fall rule.
 
     def _fits(self, server: Server) -> bool:
-        """Whether a set-up fits the window and, at a cold server, its token bucket, which its lines size."""
+        """Whether a set-up fits the window and a cold server's token bucket, which fills by its lines."""
         if len(server.open) >= (MIN_WINDOW if self._is_low(server.rate, server.min_time) else server.window):
             return False
         rules = self.settings
--- a/wickstep/interface.py
+++ b/wickstep/interface.py
@@ -73,9 +73,9 @@
     proxies: int  # in all, this one included
     max_attempts: int  # of one call
     max_retry_after: int
-    retransmit: int
+    retransmit: int  # delay of a first retransmission of a set-up; 0: none
     release_wait: int  # after a time-out, a reset or a cancel, before the call may be sent again
-    drain_grace: int
+    drain_grace: int  # how long a server that was told to drain may still be sent set-ups
     cold_from: float  # part of its capacity that a server has when it starts
     ramp_time: int  # from the start of a server to its full capacity
     fall_multiple: float  # of its present capacity, over `fall_window`: more set-ups make a cold server fail
@@ -85,7 +85,7 @@
     may_message: bool  # to other softswitches
     heeds_retry_after: bool  # callers wait for as long as a refusal advises
     list_on_request: bool  # the server list comes only when it is asked for
-    own_number: int  # -1: none
+    own_number: int  # of this softswitch; -1: unknown
     tenants: tuple[Tenant, ...] = ()
     over_quota_worth: float = 1.0  # part of its worth left to a call beyond its tenant's quota
     marks_repeats: bool = True  # callers mark repeated tries as such
@@ -176,7 +176,7 @@
     candidates: tuple[int, ...] = ()  # numbers of the servers it may go to, in order; empty: any
     tenant: int = -1  # index in the settings; -1: not listed there
     callee: str = ""  # the number called; empty: unknown
-    advised_server: int = -1  # with most room by a central monitor, seconds ago; -1: none
+    advised_server: int = -1  # number of the one with most room, by a monitor, seconds ago; -1: none
 
 
 @dataclass(slots=True, frozen=True)
--- a/wickstep/net/links.py
+++ b/wickstep/net/links.py
@@ -541,7 +541,10 @@
         start_thread(self._run)
 
     def add(self, link: Link) -> None:
-        """Read this connection too; the thread sees it once its poll ends, after `READER_POLL_MS` at most."""
+        """Read this connection too: at once, or within `READER_POLL_MS`, when the current poll ends.
+
+        The delay does not matter: an answer of a server with many connections takes as long anyway.
+        """
         link.uses_common_reader = True
         with self._lock:
             self._links.append(link)
--- a/wickstep/net/softswitch.py
+++ b/wickstep/net/softswitch.py
@@ -107,7 +107,7 @@
 # The descriptions of open calls, up to 16 KiB each, may fill the memory divided by this.
 HELD_MEMORY_DIVISOR = 16
 MAX_NUMBER_LENGTH = 255  # characters of a called number, which is kept in memory as long as its call
-MAX_PENDING_RELEASES = 1000  # releases kept unconfirmed on one connection, and while none is open
+MAX_PENDING_RELEASES = 1000  # releases kept for a connection that confirms none, and while none is open
 # Messages, and timers, handled in one turn: the clock is read at its start and must not be outdated at its
 # end.
 MAX_TURN_ITEMS = 16
@@ -129,7 +129,7 @@
 # Releases of unknown calls are passed on for this long after the start; later, calls of the previous run are
 # over.
 INHERITED_RELEASE_PERIOD = 30 * SECOND
-MAX_INHERITED_RELEASES = 2000
+MAX_INHERITED_RELEASES = 2000  # passed on in that period
 
 SERVER_OUTCOMES = {
     Reason.FULL: Outcome.FULL,
@@ -469,7 +469,7 @@
         self.shared.schedule(due, lambda: self.handle_event(api.TimerDue(action.token)))
 
     def convert_report(self, load_report: Mapping[str, float]) -> dict[str, float]:
-        """Rename the fields of a server's load report from their wire names to those of the settings."""
+        """Rename a load report's fields from the settings' names, used on both wires, to the controller's."""
         return {REPORT_FIELDS[name]: value for name, value in load_report.items() if name in REPORT_FIELDS}
 
     def report_end(
@@ -702,7 +702,7 @@
         self.shared.counters["dials_refused" if failure.refused else "dials_failed"] += 1
         self.fail_waiting(server)
         if server.link is not None:
-            # A draining server refuses each one.
+            # A draining server refuses every additional connection: wait before the next one is tried.
             server.additional_dial_after = self.shared.now + MIN_REDIAL_DELAY
             # An additional connection failed. If it was refused, the machine is alive, and the open
             # connection shows that the process is too: a draining server takes no new connections and serves
--- a/wickstep/operation/draining.py
+++ b/wickstep/operation/draining.py
@@ -16,7 +16,7 @@
 HEALTH_CHECK_DELAY = 400 * MS  # load balancer: a check each 0.1 s, no new callers 0.2 s after a failure
 MAX_RELEASE_WAIT = 3500 * MS  # 4 s after the command, no connection may be held idle
 MIN_IDLE_UNUSED = 500 * MS  # a connection without a call so far may be about to carry one
-MIN_IDLE_TESTER = 1000 * MS  # the same for one that asks whether this process is ready
+MIN_IDLE_TESTER = 1000 * MS  # the same after the last question whether this process is ready
 
 
 @dataclass(slots=True, frozen=True)
--- a/wickstep/operation/handover.py
+++ b/wickstep/operation/handover.py
@@ -15,7 +15,7 @@
 
 MAX_CALLS = 5000
 MAX_RELEASES = 1000
-MAX_AGE = 3600 * 1_000_000  # microseconds; the parties of a longer call hang up without help
+MAX_AGE = 3600 * 1_000_000  # microseconds; a longer call is forgotten, and its parties hang up by themselves
 CALL_ID_LIMIT = 2**64
 
 
--- a/wickstep/settings.py
+++ b/wickstep/settings.py
@@ -19,6 +19,7 @@
     "idempotency_key": api.Effect.KEYED,
     "non_idempotent": api.Effect.UNSAFE,
 }
+# Fields of a load report: name on the wire and in the settings -> name in the controller's events.
 REPORT_FIELDS = {
     "avg_ms": "wait_ms",
     "waiting": "waiting",
